--- /dev/null
+++ b/tests/plays.py
@@ -0,0 +1,245 @@
+"""Seeded plays in the simulated world, by name, for comparing two source trees.
+
+`tools/same_plays.py` runs each in a process of its own, once for each tree.  What a play does may
+not change from one tree to the other, so an entry is never edited: it is replaced by a new name.
+Imports are made by each play, as the modules that it needs may be imported by no other.
+
+    python plays.py NAME      (write the play's events to standard output, one a line)
+    python plays.py --list
+"""
+
+import logging
+import os
+import sys
+from collections.abc import Callable
+
+Play = Callable[[], object]
+
+DAY_TROUBLES = ("quiet", "crashes", "outage", "cuts", "machines", "everything")
+GROWN_TROUBLES = ("cut_zone", "wave", "slow_store")
+PIPELINE_TROUBLES = ("crashes", "outage", "everything")
+UPGRADE_TROUBLES = ("quiet", "crashes", "cuts", "everything")
+# Faults of one controller, each with how slowly the store answers meanwhile, in seconds.
+FAULTS = (
+    ("ends", 0.0),
+    ("stands_still_past_a_lease", 0.0),
+    ("stands_still_past_its_hold", 0.15),
+    ("is_slow", 0.0),
+    ("is_not_heard", 0.15),
+    ("is_refused_by_all", 0.0),
+    ("loses_the_store", 0.0),
+    ("loses_the_machines", 0.0),
+    ("is_refused_by_the_store", 0.0),
+    ("two_end", 0.15),
+    ("all_roll", 0.0),
+    ("flaps", 0.15),
+)
+MEETINGS = (
+    ("ends_far_apart",),
+    ("old_reports",),
+    ("slow_then_refusing",),
+    ("deaf_machines",),
+    ("late_transactions",),
+    ("over_and_back",),
+    ("alone",),
+    ("held_up",),
+    ("answers_lost",),
+    ("mute_machines",),
+    ("kept_reports",),
+    ("called_off_hanging",),
+    ("looked_at", "called_off_at_end"),
+    ("machines_at_once", "zone_alone"),
+    ("late_transactions", "ends_far_apart"),
+    ("slow_then_refusing", "over_and_back"),
+)
+CANCELLED_IN_AN_OUTAGE = 4
+HANDOVERS = 4
+LATE_TRANSACTIONS = ("submission", "filing", "roster", "fleet", "renter")
+LOST_ANSWERS = (("start", "ends"), ("outcome", "is refused"), ("cancellation", "lives on"))
+
+
+def _day(seed: int, trouble: str) -> None:
+    import days
+    import test_world
+
+    test_world.play_day(seed, getattr(days, trouble))
+
+
+def _grown(seed: int, trouble: str) -> None:
+    import test_world
+
+    test_world.play_grown(seed, getattr(test_world, trouble))
+
+
+def _pipelines(seed: int, trouble: str) -> None:
+    import days
+    import test_pipelines
+
+    test_pipelines.play_pipelines(seed, getattr(days, trouble))
+
+
+def _upgrade(seed: int, trouble: str) -> None:
+    import days
+    import test_upgrade
+
+    test_upgrade.play_upgrade(seed, getattr(days, trouble))
+
+
+def _versions_in_any_order() -> None:
+    import test_upgrade
+
+    test_upgrade.test_old_and_new_serve_each_others_records_in_any_order()
+
+
+def _fault(seed: int, fault: str, slow_s: float) -> None:
+    import test_faults
+
+    test_faults.play_fault(seed, getattr(test_faults, fault), slow_s)
+
+
+def _meetings(seed: int, *names: str) -> None:
+    import test_meetings
+
+    test_meetings.play_meeting(seed, *(getattr(test_meetings, name) for name in names))
+
+
+def _cancelled_in_an_outage(seed: int, count: int, number: int) -> None:
+    import test_gap
+
+    test_gap.play_gap(seed, count, test_gap.MEETINGS[number], number == 1, 0.8 * (number == 2))
+
+
+def _cancelled_at_handover(number: int, count: int) -> None:
+    import test_cancelled
+
+    test_cancelled.test_called_off_in_the_seconds_in_which_work_changes_hands(
+        test_cancelled.HANDOVERS[number], count
+    )
+
+
+def _late_transaction(kind: str) -> None:
+    import test_late_writes
+
+    test_late_writes.test_a_late_transaction_of_each_kind_is_harmless(kind)
+
+
+def _lost_answer(kind: str, fate: str) -> None:
+    import test_late_writes
+
+    test_late_writes.test_a_lost_answer_to_a_transaction_of_each_kind_is_harmless(kind, fate)
+
+
+def _gpu_gangs() -> None:
+    import test_quota
+
+    test_quota.test_gangs_of_gpus_in_one_zone_under_a_gpu_limit_alone(7)
+
+
+def _largest_jobs() -> None:
+    import test_room
+
+    test_room.test_the_largest_jobs_begin_though_there_is_more_work_than_room("group", 1200)
+
+
+def _bound_to_a_zone() -> None:
+    import test_room
+
+    test_room.test_jobs_bound_to_a_zone_lose_machines("service")
+
+
+def _odd_requests() -> None:
+    import test_told
+
+    test_told.test_odd_requests_get_what_the_page_says_at_every_node()
+
+
+def _old_reports_at_seven() -> None:
+    import test_leaders
+
+    test_leaders.test_old_reports_reach_every_controller_as_a_new_leader_begins(
+        count=7, when="after it has acted"
+    )
+
+
+def _ten_leaders() -> None:
+    import test_leaders
+
+    test_leaders.test_ten_changes_of_leader_in_two_minutes(True)
+
+
+def _close_look() -> None:
+    import test_told
+
+    test_told.test_a_close_look_at_all_nodes_finds_nothing_older(test_told.leaders_end, 7)
+
+
+def _nine_controllers() -> None:
+    import days
+    import test_world
+    from world import World, run
+
+    world = World(1400, count=9)
+    run(world, lambda: test_world.day(world, days.everything))
+    assert world.broken == []
+
+
+def _plays() -> dict[str, Play]:
+    """All plays by name, the longest first."""
+    found: dict[str, Play] = {}
+
+    def add(name: str, play: Callable[..., object], *arguments: object) -> None:
+        found[name] = lambda: play(*arguments)
+
+    for number, trouble in enumerate(GROWN_TROUBLES):
+        add(f"grown {trouble}", _grown, 2000 + number, trouble)
+    add("nine controllers, everything", _nine_controllers)
+    add("seven controllers, close looks", _close_look)
+    add("seven controllers, old reports", _old_reports_at_seven)
+    add("ten leaders, an outage", _ten_leaders)
+    for number, trouble in enumerate(UPGRADE_TROUBLES):
+        add(f"two versions, {trouble}", _upgrade, 2100 + number, trouble)
+    add("two versions in any order", _versions_in_any_order)
+    for number in range(CANCELLED_IN_AN_OUTAGE):
+        count = (3, 7)[number % 2]
+        add(
+            f"cancelled in an outage {number}", _cancelled_in_an_outage, 100 + number, count, number
+        )
+    for number in range(HANDOVERS):
+        count = (7, 3)[number % 2]
+        add(f"cancelled as work changes hands {number}", _cancelled_at_handover, number, count)
+    for kind in LATE_TRANSACTIONS:
+        add(f"late transaction: {kind}", _late_transaction, kind)
+    for kind, fate in LOST_ANSWERS:
+        add(f"lost answer: {kind}, its writer {fate}", _lost_answer, kind, fate)
+    add("gangs of GPUs", _gpu_gangs)
+    add("largest jobs", _largest_jobs)
+    add("bound to a zone", _bound_to_a_zone)
+    add("odd requests", _odd_requests)
+    for number, names in enumerate(MEETINGS):
+        add(f"combined: {', '.join(names)}", _meetings, 2300 + number, *names)
+    for number, trouble in enumerate(PIPELINE_TROUBLES):
+        add(f"pipelines, {trouble}", _pipelines, 2400 + number, trouble)
+    for number, (fault, slow_s) in enumerate(FAULTS):
+        add(f"fault: {fault}", _fault, 2500 + number, fault, slow_s)
+    for number, trouble in enumerate(DAY_TROUBLES):
+        add(f"day, {trouble}", _day, 2600 + number, trouble)
+    return found
+
+
+def main(arguments: list[str]) -> int:
+    """Run one play, its events on standard output, or list the names."""
+    plays = _plays()
+    if arguments == ["--list"]:
+        print("\n".join(plays))
+        return 0
+    import world
+
+    logging.disable(logging.CRITICAL)
+    with os.fdopen(os.dup(1), "w", encoding="utf-8", buffering=1 << 20) as events:
+        world.TRACE.listener = lambda event: print(event, file=events)
+        plays[arguments[0]]()
+    return 0
+
+
+if __name__ == "__main__":
+    sys.exit(main(sys.argv[1:]))
--- a/tests/world.py
+++ b/tests/world.py
@@ -288,6 +288,15 @@
             if handler is None:
                 return
             answer = await handler(source, request)
+            TRACE.note(
+                "answer",
+                target,
+                source,
+                request.path,
+                answer.status,
+                answer.retry_after,
+                answer.body,
+            )
             if self.trap is not None:
                 self.trap("after", source, target, request)
             await anyio.sleep(self.rng.uniform(0.0005, self.delay_s))
