--- a/src/sandladder/workers.py
+++ b/src/sandladder/agents/agent_service.py
@@ -6,16 +6,18 @@
 
 import anyio
 
-from sandladder import clock, mesh, wire
-from sandladder.delivery import Dialogue
-from sandladder.http import HttpError, Request, Requester, Response
-from sandladder.lifecycle import Ended
+from sandladder import clock
+from sandladder.agents.reconciler import Dialogue
+from sandladder.config.settings import split_addr
 from sandladder.membership.spread import Spread
-from sandladder.model import Report
-from sandladder.settings import split_addr
+from sandladder.model.agents import Report
+from sandladder.model.jobs import Ended
+from sandladder.protocol import wire
+from sandladder.transport import peer_transport
+from sandladder.transport.http import HttpError, Request, Requester, Response
 
 if TYPE_CHECKING:
-    from sandladder.control import Controller
+    from sandladder.controller.controller import Controller
 
 log = logging.getLogger(__name__)
 
@@ -142,7 +144,9 @@
         sight = self._c.picture.sight(dialogue.report.machine)
         if sight is not None:
             for link in self._c.peers.links.values():
-                link.send(mesh.Sighting(self._c.node, dialogue.report.machine, sight.seen))
+                link.send(
+                    peer_transport.Sighting(self._c.node, dialogue.report.machine, sight.seen)
+                )
 
     def _hear(self, report: Report, *, direct: bool) -> Dialogue | None:
         now = self._c.picture.now = clock.now()
--- a/src/sandladder/fence.py
+++ b/src/sandladder/agents/lease_renewal_guard.py
@@ -14,9 +14,9 @@
 
 import math
 from collections.abc import Iterable
-from typing import NamedTuple
 
-from sandladder.settings import Workers
+from sandladder.config.settings import Workers
+from sandladder.model.agents import Stamp
 
 
 class _Peer:
@@ -28,13 +28,6 @@
         self.known = -math.inf  # what it had confirmed by then we know
 
 
-class Stamp(NamedTuple):
-    """A moment on the steady clock of one process."""
-
-    process: int
-    at: float
-
-
 class Fence:
     """Up to which moment this controller surely knows all cancellations told to users."""
 
--- a/src/sandladder/delivery.py
+++ b/src/sandladder/agents/reconciler.py
@@ -7,10 +7,10 @@
 import math
 from typing import NamedTuple
 
-from sandladder.lifecycle import Ended
-from sandladder.mirror import Mirror
-from sandladder.model import Attempt, Command, Entry, Job, Report
-from sandladder.records import JOB
+from sandladder.model.agents import Command, Entry, Report
+from sandladder.model.jobs import Attempt, Ended, Job
+from sandladder.state.cache import Mirror
+from sandladder.state.records import JOB
 
 Key = tuple[str, int, int]  # job, task, attempt
 
--- a/src/sandladder/users.py
+++ b/src/sandladder/api/job_api.py
@@ -7,28 +7,21 @@
 import anyio
 import msgspec
 
-from sandladder import clock, wire
-from sandladder.http import Request, Response
-from sandladder.lifecycle import (
-    Needs,
-    Refused,
-    View,
-    cancel,
-    rejection,
-    submit,
-)
-from sandladder.model import CANCELLED, DONE, GANG, SERVICE, Final, Job, JobSpec
-from sandladder.peers import BUSY, Asked
-from sandladder.pipelines import Fate
-from sandladder.records import FINAL, FORM, JOB, PLAIN, fold, job_value
-from sandladder.store import (
-    P_USER,
-    Change,
-    Unavailable,
-)
+from sandladder import clock
+from sandladder.jobs.transitions import Needs, cancel, rejection, submit
+from sandladder.model.dependencies import Fate
+from sandladder.model.jobs import CANCELLED, DONE, GANG, SERVICE, Final, Job, JobSpec
+from sandladder.model.schema import FORM, PLAIN
+from sandladder.peers.peer_service import BUSY, Asked
+from sandladder.protocol import wire
+from sandladder.state.errors import Refused, Unavailable
+from sandladder.state.group_commit import P_USER, Change
+from sandladder.state.records import FINAL, JOB, fold, job_value
+from sandladder.state.transaction import View
+from sandladder.transport.http import Request, Response
 
 if TYPE_CHECKING:
-    from sandladder.control import Controller
+    from sandladder.controller.controller import Controller
 
 log = logging.getLogger(__name__)
 
--- a/src/sandladder/provision.py
+++ b/src/sandladder/autoscaling/scaling_policy.py
@@ -9,21 +9,12 @@
 from collections.abc import Collection, Mapping
 from typing import NamedTuple
 
-from sandladder.model import (
-    HIGH,
-    PRODUCTION,
-    SERVICE,
-    Job,
-    JobSpec,
-    ListedMachine,
-    Machine,
-    MachineType,
-    TeamUsage,
-)
-from sandladder.packing import Backlog, Bin, Shortage, ZoneShares, fill
-from sandladder.picture import SICK_ERRORS, Picture, allowed, likeness
-from sandladder.premises import Room
-from sandladder.quota import EPSILON, headroom
+from sandladder.model.jobs import HIGH, PRODUCTION, SERVICE, Job, JobSpec
+from sandladder.model.machines import ListedMachine, Machine, MachineType
+from sandladder.model.quota import EPSILON, TeamUsage, headroom
+from sandladder.scheduling.bin_packing import Backlog, Bin, Shortage, ZoneShares, fill
+from sandladder.scheduling.cluster_view import SICK_ERRORS, Picture, allowed, likeness
+from sandladder.scheduling.premises import Room
 
 log = logging.getLogger(__name__)
 
--- a/src/sandladder/cli.py
+++ b/src/sandladder/cli.py
@@ -12,7 +12,7 @@
 import anyio
 
 from sandladder import __version__
-from sandladder.settings import Settings, SettingsError, load
+from sandladder.config.settings import Settings, SettingsError, load
 
 OPERATOR_ENV = "SANDLADDER_OPERATOR"
 _LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
@@ -48,7 +48,7 @@
 
 
 async def _serve(settings: Settings) -> None:
-    from sandladder.control import Controller
+    from sandladder.controller.controller import Controller
 
     controller = Controller(settings, Random())
 
@@ -65,10 +65,11 @@
 
 
 async def _retire(settings: Settings, node: str) -> str | None:
-    from sandladder.http import Client
-    from sandladder.settings import split_addr
-    from sandladder.store import StateClient, Unavailable, UnknownOutcome
-    from sandladder.upgrade import retire
+    from sandladder.config.settings import split_addr
+    from sandladder.state.errors import Unavailable, UnknownOutcome
+    from sandladder.state.schema_migration import retire
+    from sandladder.state.store_client import StateClient
+    from sandladder.transport.http import Client
 
     if node not in settings.node_names:
         return f"{node} is not named in the settings"
--- a/src/sandladder/control.py
+++ b/src/sandladder/controller/controller.py
@@ -8,44 +8,41 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from sandladder import clock, mesh, wire
-from sandladder.cloud import CloudClient, Renter
-from sandladder.delivery import Delivery
-from sandladder.eviction import Evictor, Victim
-from sandladder.fence import Fence
-from sandladder.following import Following
-from sandladder.hold import Hold
-from sandladder.http import Client, Connect, Server
-from sandladder.lifecycle import (
-    LossProof,
-    Refused,
-    View,
-    stop,
-)
-from sandladder.limits import Limits
+from sandladder import clock
+from sandladder.agents.agent_service import Workers
+from sandladder.agents.lease_expiry import LossProof
+from sandladder.agents.lease_renewal_guard import Fence
+from sandladder.agents.reconciler import Delivery
+from sandladder.api.job_api import Users
+from sandladder.autoscaling.autoscaler import Renter
+from sandladder.autoscaling.cloud_client import CloudClient
+from sandladder.concurrency import Signal
+from sandladder.config.settings import Settings, split_addr
+from sandladder.jobs.dependency_resolver import Following
+from sandladder.jobs.job_committer import Work
+from sandladder.jobs.transitions import stop
+from sandladder.membership.controller_lease import Hold
 from sandladder.membership.duty import Membership
 from sandladder.membership.grading import Ears
 from sandladder.membership.steward import Steward
-from sandladder.mirror import Mirror
-from sandladder.model import HIGH, LOW, Job
-from sandladder.peers import Peers
-from sandladder.picture import Picture
-from sandladder.placement import Planner
-from sandladder.premises import Gate, Outcome, Resource
-from sandladder.records import FINAL, FLEET, JOB, NODE, ROSTER, TEAM, TYPES
-from sandladder.settings import Settings, split_addr
-from sandladder.store import (
-    P_WORK,
-    Change,
-    Committer,
-    Signal,
-    StateClient,
-    Watch,
-)
-from sandladder.upgrade import Upgrade
-from sandladder.users import Users
-from sandladder.work import Work
-from sandladder.workers import Workers
+from sandladder.model.jobs import HIGH, LOW, Job
+from sandladder.peers.peer_service import Peers
+from sandladder.protocol import wire
+from sandladder.scheduling.cluster_view import Picture
+from sandladder.scheduling.planner import Planner
+from sandladder.scheduling.preemption import Evictor, Victim
+from sandladder.scheduling.premises import Gate, Outcome, Resource
+from sandladder.state.cache import Mirror
+from sandladder.state.errors import Refused
+from sandladder.state.group_commit import P_WORK, Change, Committer
+from sandladder.state.records import FINAL, FLEET, JOB, NODE, ROSTER, TEAM, TYPES
+from sandladder.state.schema_migration import Upgrade
+from sandladder.state.store_client import StateClient
+from sandladder.state.store_limits import Limits
+from sandladder.state.transaction import View
+from sandladder.state.watch import Watch
+from sandladder.transport import peer_transport
+from sandladder.transport.http import Client, Connect, Server
 
 log = logging.getLogger(__name__)
 
@@ -182,7 +179,7 @@
         )
         tasks.start_soon(server.serve, host, port)
         tasks.start_soon(
-            mesh.serve,
+            peer_transport.serve,
             platform.mesh_addr,
             8 * len(self.nodes),
             20 * self.beat_s,
--- a/src/sandladder/following.py
+++ b/src/sandladder/jobs/dependency_resolver.py
@@ -6,13 +6,16 @@
 import anyio
 
 from sandladder import clock
-from sandladder.lifecycle import Refused, View, cancel
-from sandladder.model import Final
-from sandladder.records import FINAL, read_final
-from sandladder.store import P_USER, Change, Signal, Unavailable
+from sandladder.concurrency import Signal
+from sandladder.jobs.transitions import cancel
+from sandladder.model.jobs import Final
+from sandladder.state.errors import Refused, Unavailable
+from sandladder.state.group_commit import P_USER, Change
+from sandladder.state.records import FINAL, read_final
+from sandladder.state.transaction import View
 
 if TYPE_CHECKING:
-    from sandladder.control import Controller
+    from sandladder.controller.controller import Controller
 
 log = logging.getLogger(__name__)
 
--- a/src/sandladder/work.py
+++ b/src/sandladder/jobs/job_committer.py
@@ -11,16 +11,19 @@
 from typing import TYPE_CHECKING
 from zlib import crc32
 
-from sandladder import clock, mesh
-from sandladder.lifecycle import Ended, Refused, View, end, file_final, settle, start
-from sandladder.model import ARRAY, HIGH, TeamUsage
-from sandladder.premises import Intent, Outcome
-from sandladder.quota import headroom, nearly_used_up
-from sandladder.records import JOB
-from sandladder.store import P_IDLE, P_START, P_WORK, Change, work_priority
+from sandladder import clock
+from sandladder.jobs.transitions import end, file_final, settle, start
+from sandladder.model.jobs import ARRAY, HIGH, Ended
+from sandladder.model.quota import TeamUsage, headroom, nearly_used_up
+from sandladder.scheduling.premises import Intent, Outcome
+from sandladder.state.errors import Refused
+from sandladder.state.group_commit import P_IDLE, P_START, P_WORK, Change, work_priority
+from sandladder.state.records import JOB
+from sandladder.state.transaction import View
+from sandladder.transport import peer_transport
 
 if TYPE_CHECKING:
-    from sandladder.control import Controller
+    from sandladder.controller.controller import Controller
 
 log = logging.getLogger(__name__)
 
@@ -54,13 +57,15 @@
         """Take in proved ends: the room is free at once, the placing controller commits them."""
         c = self._c
         now = clock.now()
-        news: list[mesh.EndedTask] = []
-        away: dict[str, list[mesh.EndedTask]] = {}
+        news: list[peer_transport.EndedTask] = []
+        away: dict[str, list[peer_transport.EndedTask]] = {}
         for item in ends:
             key = (item.job, item.task, item.attempt.attempt)
             job = c.mirror.jobs.get(item.job)
             owner = c.peers.owner(job.spec.team) if job else c.node
-            told = mesh.EndedTask(item.job, item.task, *item.attempt[:4], outcome=item.outcome)
+            told = peer_transport.EndedTask(
+                item.job, item.task, *item.attempt[:4], outcome=item.outcome
+            )
             first = self._proved.get(key)
             if first is None:
                 first = self._proved[key] = (now, owner)
@@ -78,10 +83,10 @@
                 self._take(item)
         if news:
             for link in c.peers.links.values():
-                link.send(mesh.Ends(news))
+                link.send(peer_transport.Ends(news))
         for owner, items in away.items():
             if owner in c.peers.links:
-                c.peers.links[owner].send(mesh.Ends(items))
+                c.peers.links[owner].send(peer_transport.Ends(items))
 
     def told(self, item: Ended) -> None:
         """A peer has the proof of an end."""
--- a/src/sandladder/hold.py
+++ b/src/sandladder/membership/controller_lease.py
@@ -5,22 +5,21 @@
 
 import anyio
 
-from sandladder import clock, wire
-from sandladder.lifecycle import Refused, View, fresh, put_summary, summary_changes
-from sandladder.model import Seen, Summary
-from sandladder.records import FORM, FORM_KEY, PLAIN, TERM, TYPES, form_value, stamp_parts
-from sandladder.store import (
-    P_HOLD,
-    P_USER,
-    Change,
-    NoLease,
-    Renewal,
-    Signal,
-    Unavailable,
-)
+from sandladder import clock
+from sandladder.concurrency import Signal
+from sandladder.model.machines import Seen, Summary
+from sandladder.model.schema import FORM, PLAIN
+from sandladder.protocol import wire
+from sandladder.state.errors import NoLease, Refused, Unavailable
+from sandladder.state.group_commit import P_HOLD, P_USER, Change
+from sandladder.state.inventory import put_summary, summary_changes
+from sandladder.state.records import FORM_KEY, TERM, TYPES, form_value, stamp_parts
+from sandladder.state.schema_migration import fresh
+from sandladder.state.store_client import Renewal
+from sandladder.state.transaction import View
 
 if TYPE_CHECKING:
-    from sandladder.control import Controller
+    from sandladder.controller.controller import Controller
 
 log = logging.getLogger(__name__)
 
--- a/src/sandladder/membership/duty.py
+++ b/src/sandladder/membership/duty.py
@@ -7,16 +7,19 @@
 import anyio
 
 from sandladder import clock
-from sandladder.lifecycle import Refused, View
-from sandladder.limits import Limits
+from sandladder.concurrency import Signal
 from sandladder.membership import roster
 from sandladder.membership.grading import Finding, Grade, Word
 from sandladder.membership.roster import Records
 from sandladder.membership.spread import Load
 from sandladder.membership.steward import Act, Steward
-from sandladder.mirror import Mirror
-from sandladder.model import IN, SUSPECT, Member, Placer, Summary
-from sandladder.store import P_HOLD, Change, Committer, NoLease, Signal
+from sandladder.model.machines import Summary
+from sandladder.model.membership import IN, SUSPECT, Member, Placer
+from sandladder.state.cache import Mirror
+from sandladder.state.errors import NoLease, Refused
+from sandladder.state.group_commit import P_HOLD, Change, Committer
+from sandladder.state.store_limits import Limits
+from sandladder.state.transaction import View
 
 log = logging.getLogger(__name__)
 
--- a/src/sandladder/membership/roster.py
+++ b/src/sandladder/membership/roster.py
@@ -15,10 +15,11 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-from sandladder.lifecycle import Refused, View
-from sandladder.mirror import Mirror
-from sandladder.model import IN, OUT, SUSPECT, Member, Placer
-from sandladder.records import ROSTER, TEAM, placer_value
+from sandladder.model.membership import IN, OUT, SUSPECT, Member, Placer
+from sandladder.state.cache import Mirror
+from sandladder.state.errors import Refused
+from sandladder.state.records import ROSTER, TEAM, placer_value
+from sandladder.state.transaction import View
 
 # A flap is forgotten after so many times the settling time without another.
 _FORGIVEN = 16
@@ -233,3 +234,16 @@
             break
         view.put(TEAM + team, placer_value(placer), mirror.version(TEAM + team))
     return True
+
+
+def may_place(mirror: Mirror, team: str, placer: Placer | None) -> bool:
+    """Whether starts of this team are surely this controller's to commit.
+
+    Its record must name this very process, and our copy must hold all that was committed
+    before it did: then what the live jobs hold is no less than what they hold in truth.
+    """
+    return (
+        placer is not None
+        and mirror.placers.get(team) == placer
+        and mirror.revision >= mirror.version(TEAM + team) > 0
+    )
--- a/src/sandladder/membership/steward.py
+++ b/src/sandladder/membership/steward.py
@@ -13,9 +13,10 @@
 from sandladder.membership import roster
 from sandladder.membership.grading import Ears, Finding, Grade
 from sandladder.membership.roster import Move, Records, homes, rightful, settle_s
-from sandladder.mirror import Mirror
-from sandladder.model import IN, OUT, SUSPECT, Member, Placer
-from sandladder.records import PLAIN, ROSTER
+from sandladder.model.membership import IN, OUT, SUSPECT, Member, Placer
+from sandladder.model.schema import PLAIN
+from sandladder.state.cache import Mirror
+from sandladder.state.records import ROSTER
 
 log = logging.getLogger(__name__)
 
--- a/src/sandladder/pipelines.py
+++ b/src/sandladder/model/dependencies.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterable, Iterator
 from typing import NamedTuple
 
-from sandladder.model import CANCELLED, Final, Job, JobSpec
+from sandladder.model.jobs import CANCELLED, Final, Job, JobSpec
 
 
 class Fate(enum.Enum):
--- a/src/sandladder/model.py
+++ b/src/sandladder/model/jobs.py
@@ -39,79 +39,6 @@
     deadline_s: float | None
 
 
-class MachineType(msgspec.Struct, frozen=True):
-    """A kind of machine that the cloud rents."""
-
-    name: str
-    cpus: float
-    gpus: float
-    memory_gb: float
-    cache_gb: float
-    fetch_gb_per_s: float
-    price: float
-    spot_price: float
-    boot_s: float
-    zones: tuple[str, ...]
-
-    def fits(self, spec: JobSpec) -> bool:
-        """Whether a task of this job fits an empty machine of this type."""
-        return (
-            spec.cpus <= self.cpus
-            and spec.gpus <= self.gpus
-            and spec.memory_gb <= self.memory_gb
-            and (spec.types is None or self.name in spec.types)
-            and (spec.zone is None or spec.zone in self.zones)
-        )
-
-
-class Entry(NamedTuple):
-    """A task as a machine reports it."""
-
-    job: str
-    task: int
-    attempt: int
-    state: str
-    cause: str
-    saved: bool
-
-
-class Report(NamedTuple):
-    """A worker's report."""
-
-    machine: str
-    addr: str
-    type: str
-    zone: str
-    spot: bool
-    session: int
-    seq: int
-    token: int
-    notice_s: float | None
-    entries: tuple[Entry, ...]
-
-
-class Command(NamedTuple):
-    """An order to a worker: start, stop or forget one attempt."""
-
-    op: str
-    job: str
-    task: int
-    attempt: int
-    grace_s: float = 0.0
-
-
-class ListedMachine(NamedTuple):
-    """A machine in the cloud's list."""
-
-    id: str
-    type: str
-    zone: str
-    spot: bool
-    state: str
-    age_s: float
-    addr: str
-
-
 class Attempt(NamedTuple):
     """A committed start: it holds its task, place and quota until its end is proved.
 
@@ -253,71 +180,31 @@
     filed: bool = True  # that record is among the finished jobs, not among the live ones still
 
 
-class Placer(NamedTuple):
-    """The controller that places a team's jobs, and the term with which its process began."""
-
-    node: str
-    term: int
-
-
-# What the roster says of a controller: it takes part; it is doubted and may refute that; it was
-# given up, and what it placed went to others.
-IN, SUSPECT, OUT = "in", "suspect", "out"
-
-
-class Member(NamedTuple):
-    """One controller in the roster. Its incarnation is (`term`, `refuted`), which only grows."""
-
-    term: int  # with which its process entered
-    refuted: int  # how often that process refuted a suspicion or came back
-    state: str
-    since: float  # time of day from which it is in, or out
-    flaps: int  # how often in a row it was given up soon after it had come back
-    why: str  # what speaks against it
-
-
-class TeamUsage(NamedTuple):
-    """CPUs and GPUs that a team's attempts hold, over all whose end is not proved."""
+class Ended(NamedTuple):
+    """An attempt whose end is proved, and how it ended."""
 
-    cpus: float = 0.0
-    gpus: float = 0.0
-
-    def plus(self, spec: JobSpec, tasks: int) -> "TeamUsage":
-        """With so many tasks of a job more, or fewer."""
-        cpus = self.cpus + tasks * spec.cpus
-        gpus = self.gpus + tasks * spec.gpus
-        return TeamUsage(max(0.0, round(cpus, 6)), max(0.0, round(gpus, 6)))
-
-
-class Machine(NamedTuple):
-    """A machine in the fleet record. States: rented, draining, gone."""
-
-    type: str
-    zone: str
-    spot: bool
-    state: str
-    since: float  # time of day at which it came into this state
+    job: str
+    task: int
+    attempt: Attempt
+    outcome: str
 
 
-class Seen(NamedTuple):
-    """One machine in a controller's room summary."""
+class Placement(NamedTuple):
+    """A task that is to start on a machine."""
 
-    type: str
+    task: int
+    machine: str
     zone: str
-    spot: bool
     session: int
-    age_s: float  # since the controller last answered it
-    notice_s: float | None = None
-    errors: int = 0  # different jobs in a row that failed there
-    images: tuple[str, ...] = ()  # the most recent last
-
 
-class Summary(NamedTuple):
-    """A controller's room summary; its keys are attached to the controller's hold."""
 
-    term: int
-    up_s: float
-    revision: int  # what its writer had seen of the store
-    machines: dict[str, Seen] = {}
-    form: int = 1  # the newest form of records that its writer understands
-    process: int = 0  # tells the processes of one controller apart
+def zones_allowed(spec: JobSpec, zones: list[str]) -> bool:
+    """Whether the tasks of a job may be in these zones together."""
+    if spec.zone is not None and any(zone != spec.zone for zone in zones):
+        return False
+    if spec.one_zone and len(set(zones)) > 1:
+        return False
+    if spec.spread:
+        most = (spec.tasks + 1) // 2
+        return all(zones.count(zone) <= most for zone in set(zones))
+    return True
--- a/src/sandladder/quota.py
+++ b/src/sandladder/model/quota.py
@@ -8,13 +8,26 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from sandladder.model import JobSpec, TeamUsage
-from sandladder.settings import TeamLimits
+from sandladder.config.settings import TeamLimits
+from sandladder.model.jobs import JobSpec
 
 # Room for rounding when amounts that are decimal numbers are added up.
 EPSILON = 1e-6
 
 
+class TeamUsage(NamedTuple):
+    """CPUs and GPUs that a team's attempts hold, over all whose end is not proved."""
+
+    cpus: float = 0.0
+    gpus: float = 0.0
+
+    def plus(self, spec: JobSpec, tasks: int) -> "TeamUsage":
+        """With so many tasks of a job more, or fewer."""
+        cpus = self.cpus + tasks * spec.cpus
+        gpus = self.gpus + tasks * spec.gpus
+        return TeamUsage(max(0.0, round(cpus, 6)), max(0.0, round(gpus, 6)))
+
+
 class Headroom(NamedTuple):
     """How much more a team's tasks may hold; `None` where the team is not limited."""
 
--- a/src/sandladder/peers.py
+++ b/src/sandladder/peers/peer_service.py
@@ -5,16 +5,18 @@
 
 import anyio
 
-from sandladder import clock, mesh, wire
-from sandladder.fence import Stamp
-from sandladder.http import Request, Response
-from sandladder.lifecycle import Ended, may_place
+from sandladder import clock
 from sandladder.membership.grading import Word
-from sandladder.model import Attempt
-from sandladder.records import FORM, PLAIN
+from sandladder.membership.roster import may_place
+from sandladder.model.agents import Stamp
+from sandladder.model.jobs import Attempt, Ended
+from sandladder.model.schema import FORM, PLAIN
+from sandladder.protocol import wire
+from sandladder.transport import peer_transport
+from sandladder.transport.http import Request, Response
 
 if TYPE_CHECKING:
-    from sandladder.control import Controller
+    from sandladder.controller.controller import Controller
 
 log = logging.getLogger(__name__)
 
@@ -43,7 +45,7 @@
     def __init__(self, controller: "Controller") -> None:
         self._c = controller
         self.links = {
-            peer.node_name: mesh.Link(peer, controller.beat_s, self._link_changed)
+            peer.node_name: peer_transport.Link(peer, controller.beat_s, self._link_changed)
             for peer in controller.settings.platform.peers
         }
         # Numbers that no former process of this controller gave: a peer may answer what that one
@@ -103,13 +105,13 @@
             if link.form == PLAIN and now - link.heard_at < 3 * self._c.beat_s
         }
 
-    def beat(self) -> mesh.Beat | None:
+    def beat(self) -> peer_transport.Beat | None:
         """The sign of life; none while another process is the controller of this name."""
         if self._c.hold.superseded:
             return None
         self._share_writes()
         membership, now = self._c.membership, clock.now()
-        return mesh.Beat(
+        return peer_transport.Beat(
             self._c.node,
             self._c.hold.alive() and self._c.state_ok(),
             self._c.committer.demand,
@@ -152,10 +154,10 @@
     def poke(self, nodes: set[str]) -> None:
         for name, link in self.links.items():
             if name in nodes:
-                link.send(mesh.Poke(self._c.mirror.revision))
+                link.send(peer_transport.Poke(self._c.mirror.revision))
 
-    def hear(self, message: mesh.Message) -> None:
-        if isinstance(message, mesh.Beat):
+    def hear(self, message: peer_transport.Message) -> None:
+        if isinstance(message, peer_transport.Beat):
             link = self.links.get(message.node)
             if link is not None:
                 now = link.heard_at = clock.now()
@@ -173,17 +175,17 @@
                     heard=message.heard,
                 )
                 self._c.membership.hear(message.node, word)
-        elif isinstance(message, mesh.Poke):
+        elif isinstance(message, peer_transport.Poke):
             self._c.watch.poke()
-        elif isinstance(message, mesh.Ask):
+        elif isinstance(message, peer_transport.Ask):
             if message.node in self.links and self._c.tasks is not None:
                 self._c.tasks.start_soon(self._answer, message)
-        elif isinstance(message, mesh.Answer):
+        elif isinstance(message, peer_transport.Answer):
             asked = self._asked.pop(message.number, None)
             if asked is not None:
                 asked.answer = Response(message.status, message.body, message.retry_after)
                 asked.arrived.set()
-        elif isinstance(message, mesh.Sighting):
+        elif isinstance(message, peer_transport.Sighting):
             self._c.picture.now = clock.now()
             self._c.picture.tell(message.node, message.machine, message.seen)
             self._c.plan_due.set()
@@ -193,13 +195,13 @@
                 ended = Ended(item.job, item.task, attempt, item.outcome)
                 self._c.work.told(ended)
 
-    async def _answer(self, ask: mesh.Ask) -> None:
+    async def _answer(self, ask: peer_transport.Ask) -> None:
         """Serve a user's request that came to a peer; it is not passed on again."""
         answer = await self._c.users.guarded(
             lambda: self._c.users.route(Request(ask.method, ask.path, ask.body)), ask.path
         )
         self.links[ask.node].send(
-            mesh.Answer(ask.number, answer.status, answer.body, answer.retry_after)
+            peer_transport.Answer(ask.number, answer.status, answer.body, answer.retry_after)
         )
 
     async def relay(self, request: Request, peer: str) -> Response:
@@ -208,7 +210,7 @@
         number = self._asks
         asked = self._asked[number] = Asked()
         self.links[peer].send(
-            mesh.Ask(self._c.node, number, request.method, request.path, request.body)
+            peer_transport.Ask(self._c.node, number, request.method, request.path, request.body)
         )
         try:
             with anyio.move_on_after(self._c.report_s / 2):
--- a/src/sandladder/wire.py
+++ b/src/sandladder/protocol/wire.py
@@ -11,19 +11,9 @@
 
 import cbor2
 
-from sandladder.model import (
-    CANCELLED,
-    DONE,
-    GANG,
-    PENDING,
-    RUNNING,
-    Command,
-    Entry,
-    JobSpec,
-    ListedMachine,
-    MachineType,
-    Report,
-)
+from sandladder.model.agents import Command, Entry, Report
+from sandladder.model.jobs import CANCELLED, DONE, GANG, PENDING, RUNNING, JobSpec
+from sandladder.model.machines import ListedMachine, MachineType
 
 JOBS = "/work"
 HEALTH = "/healthz"
--- a/src/sandladder/picture.py
+++ b/src/sandladder/scheduling/cluster_view.py
@@ -10,27 +10,16 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from sandladder.delivery import Delivery, Dialogue
-from sandladder.lifecycle import Ended, LossProof, Placement
-from sandladder.mirror import Mirror
-from sandladder.model import (
-    ARRAY,
-    SERVICE,
-    Attempt,
-    Final,
-    Job,
-    JobSpec,
-    Machine,
-    MachineType,
-    Seen,
-    Summary,
-    TeamUsage,
-)
-from sandladder.pipelines import Outlook
-from sandladder.premises import Gate, Resource, Room
-from sandladder.quota import Headroom, headroom, within_guarantee
-from sandladder.records import JOB, TEAM
-from sandladder.settings import Settings
+from sandladder.agents.lease_expiry import LossProof
+from sandladder.agents.reconciler import Delivery, Dialogue
+from sandladder.config.settings import Settings
+from sandladder.model.dependencies import Outlook
+from sandladder.model.jobs import ARRAY, SERVICE, Attempt, Ended, Final, Job, JobSpec, Placement
+from sandladder.model.machines import Machine, MachineType, Seen, Summary
+from sandladder.model.quota import Headroom, TeamUsage, headroom, within_guarantee
+from sandladder.scheduling.premises import Gate, Resource, Room
+from sandladder.state.cache import Mirror
+from sandladder.state.records import JOB, TEAM
 
 # A machine on which so many different jobs failed in a row is not trusted with more.  One
 # job alone proves nothing: it may fail everywhere.
--- a/src/sandladder/placement.py
+++ b/src/sandladder/scheduling/planner.py
@@ -13,12 +13,12 @@
 
 import msgspec
 
-from sandladder.lifecycle import Placement
-from sandladder.limits import Limits
-from sandladder.model import GANG, HIGH, LOW, SERVICE, Job, JobSpec, TeamUsage
-from sandladder.picture import Picture, allowed, beside_gpus, holds, less, likeness
-from sandladder.premises import Intent, Room
-from sandladder.reservation import Reservation
+from sandladder.model.jobs import GANG, HIGH, LOW, SERVICE, Job, JobSpec, Placement
+from sandladder.model.quota import TeamUsage
+from sandladder.scheduling.cluster_view import Picture, allowed, beside_gpus, holds, less, likeness
+from sandladder.scheduling.premises import Intent, Room
+from sandladder.scheduling.reservation import Reservation
+from sandladder.state.store_limits import Limits
 
 # The share of the time to start within that a task waits for a machine with its image.
 _INSIST = 0.7
--- a/src/sandladder/eviction.py
+++ b/src/sandladder/scheduling/preemption.py
@@ -6,11 +6,11 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from sandladder.lifecycle import zones_allowed
-from sandladder.model import ARRAY, GANG, PRODUCTION, SERVICE, Job, TeamUsage
-from sandladder.picture import allowed, fits, holds, less
-from sandladder.placement import Planner
-from sandladder.premises import Room
+from sandladder.model.jobs import ARRAY, GANG, PRODUCTION, SERVICE, Job, zones_allowed
+from sandladder.model.quota import TeamUsage
+from sandladder.scheduling.cluster_view import allowed, fits, holds, less
+from sandladder.scheduling.planner import Planner
+from sandladder.scheduling.premises import Room
 
 
 class Victim(NamedTuple):
--- a/src/sandladder/premises.py
+++ b/src/sandladder/scheduling/premises.py
@@ -10,9 +10,8 @@
 from collections.abc import Callable, Iterable
 from typing import NamedTuple, Protocol
 
-from sandladder.lifecycle import Placement, zones_allowed
-from sandladder.model import DONE, Final, Job, JobSpec
-from sandladder.quota import EPSILON, Headroom
+from sandladder.model.jobs import DONE, Final, Job, JobSpec, Placement, zones_allowed
+from sandladder.model.quota import EPSILON, Headroom
 
 Resource = tuple[str, str]  # kind ("machine", "task", "job", "team") and name
 
--- a/src/sandladder/reservation.py
+++ b/src/sandladder/scheduling/reservation.py
@@ -12,9 +12,10 @@
 from collections import Counter
 from typing import NamedTuple
 
-from sandladder.model import GANG, HIGH, SERVICE, Job, JobSpec, MachineType
-from sandladder.picture import AGED_LEASES, Picture, allowed
-from sandladder.premises import Room
+from sandladder.model.jobs import GANG, HIGH, SERVICE, Job, JobSpec
+from sandladder.model.machines import MachineType
+from sandladder.scheduling.cluster_view import AGED_LEASES, Picture, allowed
+from sandladder.scheduling.premises import Room
 
 
 class _Place(NamedTuple):
--- a/src/sandladder/mirror.py
+++ b/src/sandladder/state/cache.py
@@ -7,20 +7,13 @@
 
 import msgspec
 
-from sandladder.model import (
-    CANCELLED,
-    Attempt,
-    Final,
-    Job,
-    Machine,
-    MachineType,
-    Member,
-    Placer,
-    Summary,
-    TeamUsage,
-)
-from sandladder.pipelines import Pipelines
-from sandladder.records import (
+from sandladder.model.dependencies import Pipelines
+from sandladder.model.jobs import CANCELLED, Attempt, Final, Job
+from sandladder.model.machines import Machine, MachineType, Summary
+from sandladder.model.membership import Member, Placer
+from sandladder.model.quota import TeamUsage
+from sandladder.model.schema import PLAIN
+from sandladder.state.records import (
     EXTRA,
     FINAL,
     FLEET,
@@ -28,7 +21,6 @@
     JOB,
     MARKS,
     NODE,
-    PLAIN,
     RENTER,
     ROSTER,
     TEAM,
--- a/src/sandladder/store.py
+++ b/src/sandladder/state/group_commit.py
@@ -6,20 +6,31 @@
 from collections.abc import Callable
 from functools import partial
 from random import Random
-from typing import Any, NamedTuple
+from typing import Any
 
 import anyio
 import msgspec
 
-from sandladder import clock, wire
-from sandladder.budget import Budget
-from sandladder.http import HttpError, Requester, Response
-from sandladder.lifecycle import Refused, View, fence
-from sandladder.limits import Limits
-from sandladder.mirror import Mirror
-from sandladder.model import PRODUCTION
-from sandladder.records import PREFIXES, ROOT, TEAM
-from sandladder.settings import LEAST_TXN_OPS, State
+from sandladder import clock
+from sandladder.concurrency import Signal
+from sandladder.config.settings import LEAST_TXN_OPS
+from sandladder.model.jobs import PRODUCTION
+from sandladder.protocol import wire
+from sandladder.state.cache import Mirror
+from sandladder.state.errors import (
+    Down,
+    NoLease,
+    Refused,
+    Rejected,
+    TooLarge,
+    Unavailable,
+    UnknownOutcome,
+)
+from sandladder.state.records import TEAM
+from sandladder.state.store_client import StateClient
+from sandladder.state.store_limits import Limits
+from sandladder.state.transaction import View, fence
+from sandladder.state.watch import Watch
 
 log = logging.getLogger(__name__)
 
@@ -33,244 +44,6 @@
     return P_WORK + (PRODUCTION - priority) / 10
 
 
-class Unavailable(Exception):
-    """The state service did not carry the request out, or gave no answer to a reading."""
-
-
-class Down(Unavailable):
-    """It serves nobody, or not us: until it does again, there is nothing to be had by asking."""
-
-
-class UnknownOutcome(Exception):
-    """A transaction got no answer: it may be applied now, later or never."""
-
-
-class NoLease(Exception):
-    """The lease has ended."""
-
-
-class TooLarge(Exception):
-    """The service refused a transaction as such: it holds too much for it."""
-
-
-class Rejected(Exception):
-    """A transaction whose conditions did not hold."""
-
-    def __init__(self, failed: list[str]) -> None:
-        super().__init__(", ".join(failed))
-        self.failed = failed
-
-
-class Signal:
-    """A flag that one routine waits for and others raise."""
-
-    def __init__(self) -> None:
-        self._event = anyio.Event()
-
-    def set(self) -> None:
-        self._event.set()
-
-    async def wait(self, timeout: float | None = None) -> bool:
-        """Wait until raised, then lower it; False when the time ran out first."""
-        with anyio.move_on_after(timeout):
-            await self._event.wait()
-        raised = self._event.is_set()
-        self._event = anyio.Event()
-        return raised
-
-
-class StateClient:
-    """Requests to the state service."""
-
-    def __init__(self, client: Requester, limits: State, timeout: float) -> None:
-        self._client = client
-        self._timeout = timeout
-        self.limits = limits
-        least = limits.least()
-        self.writes = Budget(limits.write_rps, least.write_rps)
-        self.requests = Budget(limits.rps, least.rps)
-        self.ok_at = float("-inf")  # when it last answered
-
-    async def _request(self, method: str, target: str, body: bytes = b"") -> Response:
-        self.requests.spend(1)
-        answer = await self._client.request(method, target, body, timeout=self._timeout)
-        if answer.status == 429:
-            self.requests.refused(1)
-            raise Unavailable("over the rate limit")
-        if answer.status >= 500:
-            raise Unavailable(f"status {answer.status}")
-        self.ok_at = clock.now()
-        self.requests.allowed()
-        return answer
-
-    async def _read(self, target: str) -> Response:
-        try:
-            return await self._request("GET", target)
-        except HttpError as error:
-            raise Unavailable(str(error)) from None
-
-    async def get(self, key: str) -> tuple[Any, int] | None:
-        """A key's value and version, or None."""
-        answer = await self._read(f"{wire.STORE}/{key}")
-        if answer.status == 404:
-            return None
-        return wire.parse_value(self._ok(answer))
-
-    async def read_all(self, prefix: str) -> tuple[int, list[tuple[str, Any, int]]]:
-        """All keys with a prefix, and the revision as of which at least they are complete."""
-        found: list[tuple[str, Any, int]] = []
-        after, least = "", None
-        while True:
-            answer = await self._read(wire.list_target(prefix, after))
-            revision, items, more = wire.parse_items(self._ok(answer))
-            least = revision if least is None else min(least, revision)
-            found += items
-            if not more or not items:
-                return least, found
-            after = items[-1][0]
-
-    async def follow(self, after: int) -> tuple[int, list[tuple[str, Any, int]]] | None:
-        """Changes after a revision, or None when those are no longer kept."""
-        answer = await self._read(wire.follow_target(ROOT, after, 0.0))
-        if answer.status == 410:
-            return None
-        return wire.parse_events(self._ok(answer))
-
-    @staticmethod
-    def _ok(answer: Response) -> bytes:
-        if answer.status != 200:
-            raise Unavailable(f"status {answer.status}")
-        return answer.body
-
-    async def commit(self, body: bytes, changes: int) -> int:
-        """Apply a transaction; the revision it got."""
-        self.writes.spend(changes)
-        self.requests.spend(1)
-        try:
-            answer = await self._client.request("POST", wire.COMMIT, body, timeout=self._timeout)
-        except HttpError as error:
-            raise UnknownOutcome(str(error)) from None
-        if answer.status == 429:
-            self.writes.refused(changes)
-            raise Unavailable("over the rate limit")
-        if answer.status == 503:
-            self.writes.unspent(changes)
-            raise Down("status 503")
-        if answer.status >= 500:
-            raise UnknownOutcome(f"status {answer.status}")
-        self.ok_at = clock.now()
-        if answer.status == 409:
-            raise Rejected(wire.parse_failed(answer.body))
-        if answer.status == 400:
-            text = wire.loads_map(answer.body).get("error")
-            if text == "no such lease":
-                raise NoLease
-            raise TooLarge(f"the state service refused a transaction: {text}")
-        self.writes.allowed()
-        return wire.parse_revision(self._ok(answer))
-
-    async def hold(self, ttl_s: float) -> int:
-        """A new lease."""
-        try:
-            answer = await self._request("POST", wire.HOLDS, wire.lease_body(ttl_s))
-        except HttpError as error:
-            raise Unavailable(str(error)) from None
-        return wire.parse_lease(self._ok(answer))
-
-    async def renew(self, lease: int) -> None:
-        """Renew a lease; raises NoLease when it has ended."""
-        try:
-            answer = await self._request("POST", f"{wire.HOLDS}/{lease}/renew")
-        except HttpError as error:
-            raise Unavailable(str(error)) from None
-        if answer.status == 404:
-            raise NoLease
-        self._ok(answer)
-
-
-class Watch:
-    """Keeps the mirror current, and tells when it is as new as a moment that just passed."""
-
-    def __init__(
-        self,
-        state: StateClient,
-        mirror: Mirror,
-        nodes: int,
-        on_change: Callable[[dict[str, None]], None],
-        on_synced: Callable[[float], None],
-        report_s: float,
-    ) -> None:
-        self._state = state
-        self._mirror = mirror
-        self._on_change = on_change
-        self._on_synced = on_synced
-        share = state.limits.rps / nodes
-        # On demand readings may take half of our share, idle ones a sixth, and no more than
-        # a person would notice: each costs us as much as a worker's report.
-        self._spacing_s = max(1 / (0.5 * share), report_s / 32)
-        self._idle_s = max(6 / share, report_s / 16)
-        self._demand = Signal()
-        self._waiting: list[anyio.Event] = []
-        self.loaded = False
-
-    async def barrier(self) -> None:
-        """Return once the mirror holds everything committed before this call."""
-        event = anyio.Event()
-        self._waiting.append(event)
-        self._demand.set()
-        await event.wait()
-
-    def poke(self) -> None:
-        """There is news, or soon will be."""
-        self._demand.set()
-
-    async def run(self) -> None:
-        """Read the changes again and again until cancelled."""
-        while True:
-            sent = clock.now()
-            waiting, self._waiting = self._waiting, []
-            try:
-                await self._advance()
-            except (Unavailable, wire.Malformed) as error:
-                log.debug("reading the state service failed: %s", error)
-                self._waiting = waiting + self._waiting
-                await anyio.sleep(self._spacing_s * 2)
-                continue
-            self._on_synced(sent)
-            for event in waiting:
-                event.set()
-            left = self._spacing_s - (clock.now() - sent)
-            await anyio.sleep(max(0.0, left))
-            if not self._waiting:
-                await self._demand.wait(self._idle_s)
-
-    async def _advance(self) -> None:
-        found = await self._state.follow(self._mirror.revision) if self.loaded else None
-        read: dict[str, None] = {}
-        if found is None:
-            read = await self._load()
-            found = await self._state.follow(self._mirror.revision)
-            if found is None:
-                raise Unavailable("the log moved on while it was read")
-        # Nobody acts on what was read before the changes made meanwhile are in: records of
-        # several parts may not fit together until then.
-        changed = read | self._mirror.apply(*found)
-        self.loaded = True
-        if changed:
-            self._on_change(changed)
-
-    async def _load(self) -> dict[str, None]:
-        items: list[tuple[str, Any, int]] = []
-        revisions = []
-        for prefix in PREFIXES:
-            revision, found = await self._state.read_all(prefix)
-            revisions.append(revision)
-            items += found
-        changed = self._mirror.reset(min(revisions), items)
-        log.info("read %d records as of revision %d", len(items), min(revisions))
-        return changed
-
-
 def _kind(key: str) -> str:
     """The kind of a key: its first two parts."""
     return "/".join(key.split("/")[:2])
@@ -552,10 +325,3 @@
             for change in chosen:
                 self._settle(change)
             self._on_change(changed)
-
-
-class Renewal(NamedTuple):
-    """A lease and until when it surely lasts."""
-
-    lease: int
-    until: float
--- a/src/sandladder/records.py
+++ b/src/sandladder/state/records.py
@@ -10,21 +10,11 @@
 
 import msgspec
 
-from sandladder.model import (
-    ARRAY,
-    CANCELLED,
-    DONE,
-    Attempt,
-    Final,
-    Job,
-    JobSpec,
-    Machine,
-    Placer,
-    Ranges,
-    Seen,
-    Summary,
-    TeamUsage,
-)
+from sandladder.model.jobs import ARRAY, CANCELLED, DONE, Attempt, Final, Job, JobSpec, Ranges
+from sandladder.model.machines import Machine, Seen, Summary
+from sandladder.model.membership import Placer
+from sandladder.model.quota import TeamUsage
+from sandladder.model.schema import FORM, PLAIN
 
 ROOT = "s/"
 JOB, FINAL, TEAM, NODE, FLEET = "s/j/", "s/f/", "s/t/", "s/p/", "s/v/"
@@ -38,10 +28,6 @@
 ROSTER = MEMBERS + "roster"
 # What a controller reads at its start: all but the finished jobs.
 PREFIXES = (JOB, NODE, "s/r", "s/t", FLEET, MARK, EXTRA, MEMBERS)
-
-# The form of records that this program writes once all controllers understand it.  Until
-# FORM_KEY says so, everything is written as the version before wrote it.
-PLAIN, FORM = 1, 2
 FORM_KEY = JOB + "form"
 
 
--- a/src/sandladder/upgrade.py
+++ b/src/sandladder/state/schema_migration.py
@@ -13,24 +13,28 @@
 import anyio
 import msgspec
 
-from sandladder import wire
-from sandladder.lifecycle import Refused, View, mark_form, raise_form, rewrite
-from sandladder.records import (
+from sandladder.model.schema import FORM, PLAIN
+from sandladder.protocol import wire
+from sandladder.state.cache import Mirror
+from sandladder.state.errors import Refused, Rejected
+from sandladder.state.group_commit import P_IDLE, P_USER, Change
+from sandladder.state.records import (
     FLEET,
-    FORM,
     FORM_KEY,
     JOB,
     MARKS,
     NODE,
-    PLAIN,
+    TERM,
+    TYPES,
     fleet_value,
     form_value,
     job_value,
 )
-from sandladder.store import P_IDLE, P_USER, Change, Rejected, StateClient
+from sandladder.state.store_client import StateClient
+from sandladder.state.transaction import View
 
 if TYPE_CHECKING:
-    from sandladder.control import Controller
+    from sandladder.controller.controller import Controller
 
 log = logging.getLogger(__name__)
 
@@ -147,3 +151,57 @@
     except Rejected as rejection:
         return f"something changed meanwhile ({rejection}): try again"
     return None
+
+
+def fresh(mirror: Mirror) -> bool:
+    """Whether nobody has ever written here: the first things written are term and types."""
+    return not mirror.version(TERM) and not mirror.version(TYPES) and not mirror.jobs
+
+
+def mark_form(view: View, node: str, form: int | None) -> bool:
+    """Note which form of records a controller's program understands; None: not known any more."""
+    marks = dict(view.mirror.marks)
+    if form is None:
+        marks.pop(node, None)
+    else:
+        marks[node] = form
+    if marks == view.mirror.marks:
+        return False
+    view.put(MARKS, marks, view.mirror.version(MARKS))
+    return True
+
+
+def raise_form(view: View, nodes: list[str]) -> bool:
+    """Have records written in our form from now on: all controllers understand it.
+
+    That is proved by what each of them wrote, never by silence: by its mark, and by its room
+    summary if it lives.  The summaries are bound, so none can begin with an older program
+    unseen; and the term moves, so that one that has just read the records must read again
+    before it can enter.
+    """
+    mirror = view.mirror
+    if mirror.form >= FORM:
+        return False
+    for node in nodes:
+        summary = mirror.nodes.get(node)
+        if mirror.marks.get(node, PLAIN) < FORM or node in mirror.opaque:
+            raise Refused(f"{node} is not known to understand the form")
+        if summary is not None and summary.form < FORM:
+            raise Refused(f"{node} runs an older version")
+        view.guards[NODE + node] = mirror.version(NODE + node)
+    view.guards[MARKS] = mirror.version(MARKS)
+    view.put(FORM_KEY, form_value(FORM), 0)
+    view.put(TERM, mirror.term + 1, mirror.version(TERM))
+    return True
+
+
+def rewrite(view: View, key: str) -> bool:
+    """Write a record again as it is, within the limits in force."""
+    name = key.rpartition("/")[2]
+    if key.startswith(JOB):
+        return view.job(name) is not None
+    if key.startswith(FLEET) and int(name) in view.mirror.chunks:
+        machines = {m: view.mirror.fleet[m] for m in view.mirror.chunks[int(name)]}
+        view.put(key, fleet_value(machines), view.mirror.version(key))
+        return True
+    return False
--- a/src/sandladder/limits.py
+++ b/src/sandladder/state/store_limits.py
@@ -5,9 +5,9 @@
 after a while the settings are trusted again.  Pure.
 """
 
-from sandladder.mirror import Mirror
-from sandladder.records import PLAIN
-from sandladder.settings import LEAST_TXN_OPS, State
+from sandladder.config.settings import LEAST_TXN_OPS, State
+from sandladder.model.schema import PLAIN
+from sandladder.state.cache import Mirror
 
 # Room for the key and the braces around a value.
 _VALUE_SHARE = 0.95
--- a/src/sandladder/mesh.py
+++ b/src/sandladder/transport/peer_transport.py
@@ -14,11 +14,11 @@
 from anyio.abc import SocketStream
 
 from sandladder import clock
-from sandladder.fence import Stamp
-from sandladder.model import Seen
-from sandladder.records import PLAIN
-from sandladder.settings import Peer, split_addr
-from sandladder.store import Signal
+from sandladder.concurrency import Signal
+from sandladder.config.settings import Peer, split_addr
+from sandladder.model.agents import Stamp
+from sandladder.model.machines import Seen
+from sandladder.model.schema import PLAIN
 
 log = logging.getLogger(__name__)
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -5,17 +5,21 @@
 import cbor2
 import msgspec
 
-from sandladder import wire
-from sandladder.delivery import Delivery
-from sandladder.lifecycle import LossProof, View, start, submit
-from sandladder.limits import Limits
-from sandladder.mirror import Mirror
-from sandladder.model import Job, MachineType, Report, Seen, Summary
-from sandladder.picture import Picture
-from sandladder.placement import Planner
-from sandladder.premises import Gate
-from sandladder.records import FINAL
-from sandladder.settings import Settings, TeamLimits
+from sandladder.agents.lease_expiry import LossProof
+from sandladder.agents.reconciler import Delivery
+from sandladder.config.settings import Settings, TeamLimits
+from sandladder.jobs.transitions import start, submit
+from sandladder.model.agents import Report
+from sandladder.model.jobs import Job
+from sandladder.model.machines import MachineType, Seen, Summary
+from sandladder.protocol import wire
+from sandladder.scheduling.cluster_view import Picture
+from sandladder.scheduling.planner import Planner
+from sandladder.scheduling.premises import Gate
+from sandladder.state.cache import Mirror
+from sandladder.state.records import FINAL
+from sandladder.state.store_limits import Limits
+from sandladder.state.transaction import View
 from world import job, settings
 
 LIMITS = TeamLimits("red", 16.0, 48.0, 2.0, 4.0)
--- a/tests/membership/fleet.py
+++ b/tests/membership/fleet.py
@@ -8,13 +8,17 @@
 from random import Random
 from typing import Any
 
-from sandladder.lifecycle import Refused, View, put_summary, summary_changes
 from sandladder.membership import roster
 from sandladder.membership.grading import Ears, Word
 from sandladder.membership.steward import Act, Steward
-from sandladder.mirror import Mirror
-from sandladder.model import Member, Placer, Summary
-from sandladder.records import FORM, FORM_KEY, NODE, TEAM, TERM, form_value, read_team
+from sandladder.model.machines import Summary
+from sandladder.model.membership import Member, Placer
+from sandladder.model.schema import FORM
+from sandladder.state.cache import Mirror
+from sandladder.state.errors import Refused
+from sandladder.state.inventory import put_summary, summary_changes
+from sandladder.state.records import FORM_KEY, NODE, TEAM, TERM, form_value, read_team
+from sandladder.state.transaction import View
 
 REPORT, BEAT, HOLD, STEP, RESTART = 2.4, 0.4, 24.0, 0.1, 3.0
 
--- a/tests/membership/test_roster_model.py
+++ b/tests/membership/test_roster_model.py
@@ -11,10 +11,10 @@
 
 import pytest
 
-from sandladder.lifecycle import Refused
 from sandladder.membership import roster
 from sandladder.membership.roster import Move, Records
-from sandladder.model import IN, OUT, SUSPECT, Member, Placer
+from sandladder.model.membership import IN, OUT, SUSPECT, Member, Placer
+from sandladder.state.errors import Refused
 
 TEAM, LIMIT, NODES = "red", 1, ("a", "b", "c")
 DEPTH, FAULTS = 6, 2
--- a/tests/test_delivery.py
+++ b/tests/test_delivery.py
@@ -1,11 +1,13 @@
 """Reports in, orders and ends out."""
 
 from helpers import LIMITS, accept, commit
-from sandladder.delivery import Delivery
-from sandladder.fence import Fence
-from sandladder.lifecycle import Ended, Placement, View, start
-from sandladder.mirror import Mirror
-from sandladder.model import Attempt, Command, Entry, Report
+from sandladder.agents.lease_renewal_guard import Fence
+from sandladder.agents.reconciler import Delivery
+from sandladder.jobs.transitions import start
+from sandladder.model.agents import Command, Entry, Report
+from sandladder.model.jobs import Attempt, Ended, Placement
+from sandladder.state.cache import Mirror
+from sandladder.state.transaction import View
 from world import settings
 
 
--- a/tests/test_fence_model.py
+++ b/tests/test_fence_model.py
@@ -11,8 +11,9 @@
 
 import pytest
 
-from sandladder.fence import Fence, Stamp
-from sandladder.settings import Workers
+from sandladder.agents.lease_renewal_guard import Fence
+from sandladder.config.settings import Workers
+from sandladder.model.agents import Stamp
 
 LEASE, CANCEL, LAST = 1, 2, 3
 OTHERS = ("b", "c")
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -5,19 +5,13 @@
 import pytest
 
 from helpers import LIMITS, accept, commit, spec, started_gang
-from sandladder.lifecycle import (
-    Ended,
-    LossProof,
-    Placement,
-    Refused,
-    View,
-    cancel,
-    end,
-    start,
-    submit,
-)
-from sandladder.mirror import Mirror
-from sandladder.model import Seen, Summary
+from sandladder.agents.lease_expiry import LossProof
+from sandladder.jobs.transitions import cancel, end, start, submit
+from sandladder.model.jobs import Ended, Placement
+from sandladder.model.machines import Seen, Summary
+from sandladder.state.cache import Mirror
+from sandladder.state.errors import Refused
+from sandladder.state.transaction import View
 
 
 def test_a_cancelled_job_is_final_only_when_its_last_attempt_has_ended() -> None:
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -8,24 +8,17 @@
 
 from days import Trouble, crashes, cuts, everything, machines, outage, pipeline, submit_all, warm
 from helpers import LIMITS, accept, commit, scene, spec
-from sandladder import wire
-from sandladder.lifecycle import (
-    Ended,
-    Needs,
-    Placement,
-    Refused,
-    View,
-    cancel,
-    end,
-    file_final,
-    start,
-    submit,
-)
-from sandladder.mirror import Mirror
-from sandladder.model import Final, Job, Placer
-from sandladder.pipelines import Fate, Outlook
-from sandladder.premises import Outcome
-from sandladder.records import FORM, job_value, load_job
+from sandladder.jobs.transitions import Needs, cancel, end, file_final, start, submit
+from sandladder.model.dependencies import Fate, Outlook
+from sandladder.model.jobs import Ended, Final, Job, Placement
+from sandladder.model.membership import Placer
+from sandladder.model.schema import FORM
+from sandladder.protocol import wire
+from sandladder.scheduling.premises import Outcome
+from sandladder.state.cache import Mirror
+from sandladder.state.errors import Refused
+from sandladder.state.records import job_value, load_job
+from sandladder.state.transaction import View
 from world import World, job, now, run
 
 ME = Placer("node-0", 1)
@@ -186,7 +179,7 @@
 
 
 def test_waiting_jobs_are_no_backlog_and_nobody_rents_for_them() -> None:
-    from sandladder.provision import Provisioner
+    from sandladder.autoscaling.scaling_policy import Provisioner
 
     picture, planner, mirror, _ = scene()
     world_of(mirror)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -4,13 +4,16 @@
 from typing import Any
 
 from helpers import LIMITS, accept, commit, scene
-from sandladder.eviction import Evictor
-from sandladder.lifecycle import Ended, Placement, View, end, start
-from sandladder.model import JobSpec, Machine, Ranges, Report, Seen
-from sandladder.picture import Picture
-from sandladder.provision import Provisioner
-from sandladder.reservation import Reservation
-from sandladder.settings import TeamLimits
+from sandladder.autoscaling.scaling_policy import Provisioner
+from sandladder.config.settings import TeamLimits
+from sandladder.jobs.transitions import end, start
+from sandladder.model.agents import Report
+from sandladder.model.jobs import Ended, JobSpec, Placement, Ranges
+from sandladder.model.machines import Machine, Seen
+from sandladder.scheduling.cluster_view import Picture
+from sandladder.scheduling.preemption import Evictor
+from sandladder.scheduling.reservation import Reservation
+from sandladder.state.transaction import View
 
 
 def test_room_of_a_proved_end_is_free_before_it_is_committed() -> None:
--- a/tests/test_premises.py
+++ b/tests/test_premises.py
@@ -1,8 +1,10 @@
 """The gate: selective checks, the worst outcome wins, fail closed."""
 
 from helpers import LIMITS, accept, commit, scene
-from sandladder.lifecycle import Placement, View, start
-from sandladder.premises import Intent, Outcome
+from sandladder.jobs.transitions import start
+from sandladder.model.jobs import Placement
+from sandladder.scheduling.premises import Intent, Outcome
+from sandladder.state.transaction import View
 
 
 def test_the_gate_rechecks_only_what_a_change_reaches_and_the_worst_wins() -> None:
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -10,10 +10,12 @@
 from days import warm
 from helpers import commit, scene, spec
 from meeting import play, until
-from sandladder.lifecycle import Placement, Refused, View, rejection, start, submit
-from sandladder.model import TeamUsage
-from sandladder.quota import NOTHING, headroom, within_guarantee
-from sandladder.settings import TeamLimits
+from sandladder.config.settings import TeamLimits
+from sandladder.jobs.transitions import rejection, start, submit
+from sandladder.model.jobs import Placement
+from sandladder.model.quota import NOTHING, TeamUsage, headroom, within_guarantee
+from sandladder.state.errors import Refused
+from sandladder.state.transaction import View
 from world import TODAY, World, job
 
 GPUS_ALONE = TeamLimits("red", gpus=2.0, gpus_max=4.0)
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -7,10 +7,15 @@
 import pytest
 
 from helpers import LIMITS, accept, commit, scene, spec, summary
-from sandladder.lifecycle import Ended, Placement, Refused, View, change_fleet, end, start, submit
-from sandladder.mirror import Mirror
-from sandladder.model import Attempt, Job, Machine, Ranges
-from sandladder.records import FORM, JOB, NODE, PLAIN, TEAM, fold, job_value, load_job, pack_summary
+from sandladder.jobs.transitions import end, start, submit
+from sandladder.model.jobs import Attempt, Ended, Job, Placement, Ranges
+from sandladder.model.machines import Machine
+from sandladder.model.schema import FORM, PLAIN
+from sandladder.state.cache import Mirror
+from sandladder.state.errors import Refused
+from sandladder.state.instances import change_fleet
+from sandladder.state.records import JOB, NODE, TEAM, fold, job_value, load_job, pack_summary
+from sandladder.state.transaction import View
 
 
 def test_ranges_are_a_set() -> None:
--- a/tests/test_renting.py
+++ b/tests/test_renting.py
@@ -7,12 +7,13 @@
 import pytest
 
 from helpers import accept, scene
-from sandladder.cloud import CloudClient, CloudError
-from sandladder.http import Response
-from sandladder.model import Machine, MachineType, Report
-from sandladder.picture import Picture
-from sandladder.provision import Provisioner
-from sandladder.settings import TeamLimits
+from sandladder.autoscaling.cloud_client import CloudClient, CloudError
+from sandladder.autoscaling.scaling_policy import Provisioner
+from sandladder.config.settings import TeamLimits
+from sandladder.model.agents import Report
+from sandladder.model.machines import Machine, MachineType
+from sandladder.scheduling.cluster_view import Picture
+from sandladder.transport.http import Response
 from world import VirtualLoop
 
 GPU_TYPE = MachineType("gpu", 12.0, 2.0, 48.0, 20.0, 1.0, 5.0, 1.0, 9.0, ("north", "south"))
--- a/tests/test_samples.py
+++ b/tests/test_samples.py
@@ -12,14 +12,14 @@
 import production
 import samples
 from helpers import LIMITS, commit
-from sandladder import mesh
-from sandladder.lifecycle import Ended, Placement, View, end, start
-from sandladder.mirror import Mirror
-from sandladder.model import Final, Job, Machine, Seen, Summary, TeamUsage
-from sandladder.records import (
-    FORM,
+from sandladder.jobs.transitions import end, start
+from sandladder.model.jobs import Ended, Final, Job, Placement
+from sandladder.model.machines import Machine, Seen, Summary
+from sandladder.model.quota import TeamUsage
+from sandladder.model.schema import FORM, PLAIN
+from sandladder.state.cache import Mirror
+from sandladder.state.records import (
     JOB,
-    PLAIN,
     final_value,
     fleet_value,
     job_value,
@@ -30,6 +30,8 @@
     read_team,
     unpack_summary,
 )
+from sandladder.state.transaction import View
+from sandladder.transport import peer_transport
 
 KEPT: dict[str, Any] = json.loads(samples.FILE.read_text("utf-8"))
 RECORDS, MESSAGES = KEPT["records"], KEPT["messages"]
@@ -94,16 +96,16 @@
 
 def test_messages_are_read_and_said_again_as_production_said_them() -> None:
     for name, text in MESSAGES.items():
-        message = mesh._decoder.decode(bytes.fromhex(text))
-        again = mesh._encoder.encode(message).hex()
+        message = peer_transport._decoder.decode(bytes.fromhex(text))
+        again = peer_transport._encoder.encode(message).hex()
         if name == "beat":
             # More elements, at the end, which production ignores.
-            assert isinstance(message, mesh.Beat) and message.form == PLAIN
+            assert isinstance(message, peer_transport.Beat) and message.form == PLAIN
             before = msgspec.msgpack.decode(bytes.fromhex(text))
             now = msgspec.msgpack.decode(bytes.fromhex(again))
             assert now[: len(before)] == before and now[len(before)] == PLAIN
         else:
             assert again == text
-    seen = mesh._decoder.decode(bytes.fromhex(MESSAGES["sighting"]))
-    assert isinstance(seen, mesh.Sighting) and len(seen.seen) == len(Seen._fields)
+    seen = peer_transport._decoder.decode(bytes.fromhex(MESSAGES["sighting"]))
+    assert isinstance(seen, peer_transport.Sighting) and len(seen.seen) == len(Seen._fields)
     assert Summary._fields[:4] == ("term", "up_s", "revision", "machines")
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -5,13 +5,14 @@
 
 import anyio
 
-from sandladder.budget import Budget
-from sandladder.http import Response
-from sandladder.lifecycle import View
-from sandladder.limits import Limits
-from sandladder.mirror import Mirror
-from sandladder.store import Change, Committer, StateClient
-from sandladder.wire import dumps
+from sandladder.protocol.wire import dumps
+from sandladder.state.cache import Mirror
+from sandladder.state.group_commit import Change, Committer
+from sandladder.state.store_client import StateClient
+from sandladder.state.store_limits import Limits
+from sandladder.state.token_bucket import Budget
+from sandladder.state.transaction import View
+from sandladder.transport.http import Response
 from world import settings
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -165,7 +165,7 @@
 
 @needs_history
 def test_the_form_is_not_raised_while_one_never_came_back_until_its_operators_say_so() -> None:
-    from sandladder.upgrade import retire
+    from sandladder.state.schema_migration import retire
 
     world = World(940, old=True)
 
@@ -186,10 +186,13 @@
 
 
 def test_a_mark_alone_does_not_raise_the_form_while_an_older_version_lives() -> None:
-    from sandladder.lifecycle import Refused, View, mark_form, raise_form
-    from sandladder.mirror import Mirror
-    from sandladder.model import Summary
-    from sandladder.records import FORM, NODE, pack_summary
+    from sandladder.model.machines import Summary
+    from sandladder.model.schema import FORM
+    from sandladder.state.cache import Mirror
+    from sandladder.state.errors import Refused
+    from sandladder.state.records import NODE, pack_summary
+    from sandladder.state.schema_migration import mark_form, raise_form
+    from sandladder.state.transaction import View
 
     mirror = Mirror()
     for node in "ab":
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -6,7 +6,7 @@
 import cbor2
 import pytest
 
-from sandladder import wire
+from sandladder.protocol import wire
 from world import job
 
 
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -6,13 +6,17 @@
 
 from days import warm
 from helpers import LIMITS, accept, commit, scene, spec
-from sandladder import packing, provision
-from sandladder.lifecycle import Ended, Placement, View, end, start, submit
-from sandladder.mirror import Mirror
-from sandladder.model import Machine, Report
-from sandladder.picture import Picture
-from sandladder.provision import Provisioner
-from sandladder.settings import TeamLimits
+from sandladder.autoscaling import scaling_policy
+from sandladder.autoscaling.scaling_policy import Provisioner
+from sandladder.config.settings import TeamLimits
+from sandladder.jobs.transitions import end, start, submit
+from sandladder.model.agents import Report
+from sandladder.model.jobs import Ended, Placement
+from sandladder.model.machines import Machine
+from sandladder.scheduling import bin_packing
+from sandladder.scheduling.cluster_view import Picture
+from sandladder.state.cache import Mirror
+from sandladder.state.transaction import View
 from world import World, job, now, run
 
 
@@ -110,13 +114,13 @@
 def test_renting_tries_each_kind_of_task_once_that_finds_no_room(monkeypatch) -> None:
     """However many jobs wait, the machines are gone through for each likeness, not each job."""
     looked: Counter[int] = Counter()
-    fill = packing.fill
+    fill = bin_packing.fill
 
     def counted(spec, count, bins, *rest, **named):
         looked[jobs] += bool(count) and len(bins) > 100
         return fill(spec, count, bins, *rest, **named)
 
-    monkeypatch.setattr(provision, "fill", counted)
+    monkeypatch.setattr(scaling_policy, "fill", counted)
     for jobs in (20, 200):
         picture, _, mirror, _ = scene()
         picture.limits = {}
--- a/tests/world.py
+++ b/tests/world.py
@@ -23,10 +23,11 @@
 
 import production
 from answers import OVER, Answers, lacking, misfit, over_limit
-from sandladder import control, http, mesh
-from sandladder import settings as settings_module
-from sandladder.http import HttpError, Request, Response
-from sandladder.settings import Settings
+from sandladder.config import settings as settings_module
+from sandladder.config.settings import Settings
+from sandladder.controller import controller as controller_module
+from sandladder.transport import http, peer_transport
+from sandladder.transport.http import HttpError, Request, Response
 
 ZONES = ["north", "south"]
 TYPES = {
@@ -42,7 +43,9 @@
 WRITE_RPS = 30.0
 REPORT_S = 2.0
 CANCEL_S = 36.0  # what a cancellation has, unless the world is told otherwise
-TODAY = production.Version(control=control, http=http, mesh=mesh, settings=settings_module)
+TODAY = production.Version(
+    control=controller_module, http=http, mesh=peer_transport, settings=settings_module
+)
 # What the state service takes some time after an upgrade.
 NEXT = {"write_rps": 20.0, "value_kb": 2.0, "txn_ops": 4}
 
--- a/tools/capacity/measure.py
+++ b/tools/capacity/measure.py
@@ -11,15 +11,19 @@
 
 from capacity import scene as scenes
 from capacity.rows import Row
-from sandladder import mesh, wire
-from sandladder.fence import Stamp
-from sandladder.http import Response, _encode_answer
-from sandladder.lifecycle import Ended, Placement, View, end, start
-from sandladder.mirror import Mirror
-from sandladder.model import Command, Entry, Machine, Member, Report, Seen, Summary
-from sandladder.provision import Provisioner
-from sandladder.records import JOB, fleet_value, fold_summary
-from sandladder.settings import TeamLimits
+from sandladder.autoscaling.scaling_policy import Provisioner
+from sandladder.config.settings import TeamLimits
+from sandladder.jobs.transitions import end, start
+from sandladder.model.agents import Command, Entry, Report, Stamp
+from sandladder.model.jobs import Ended, Placement
+from sandladder.model.machines import Machine, Seen, Summary
+from sandladder.model.membership import Member
+from sandladder.protocol import wire
+from sandladder.state.cache import Mirror
+from sandladder.state.records import JOB, fleet_value, fold_summary
+from sandladder.state.transaction import View
+from sandladder.transport import peer_transport
+from sandladder.transport.http import Response, _encode_answer
 
 # The step that processor time is given in: a hash over so many bytes.
 _REFERENCE_BYTES = 1 << 16
@@ -78,10 +82,10 @@
     peers = [f"node-{n}" for n in range(controllers - 1)]
     heard = dict.fromkeys(peers, (0.123, False))
     echoes = {name: Stamp(1 << 39, 12345.678) for name in peers}
-    found = mesh.Beat(
+    found = peer_transport.Beat(
         "node-8", True, 10, 2, 9, 9, 0.01, 144, False, heard, 1 << 39, 12345.678, echoes, [], True
     )
-    return mesh._frame(found)
+    return peer_transport._frame(found)
 
 
 def summary(machines: int) -> Summary:
@@ -105,10 +109,10 @@
         yield row("report", "tasks on the worker", tasks, len(report_body(tasks)))
         yield row("commands", "starts", tasks, len(commands(tasks)))
         ends = [
-            mesh.EndedTask(f"job-{n:06d}", n, scenes.machine_name(n), "a1", 1, 1, "done")
+            peer_transport.EndedTask(f"job-{n:06d}", n, scenes.machine_name(n), "a1", 1, 1, "done")
             for n in range(tasks)
         ]
-        yield row("ends told", "ends", tasks, len(mesh._frame(mesh.Ends(ends))))
+        yield row("ends told", "ends", tasks, len(peer_transport._frame(peer_transport.Ends(ends))))
     for size in (0, 400, 800, 1600, 3200):
         around = len(request_bytes(bytes(size))) - size
         around += len(http_exchange(request_bytes(bytes(size)), Response(200, bytes(100)))()) - 100
--- a/tools/capacity/scene.py
+++ b/tools/capacity/scene.py
@@ -5,16 +5,9 @@
 
 import msgspec
 
-from sandladder.delivery import Delivery
-from sandladder.lifecycle import LossProof, Placement, View, start, submit
-from sandladder.limits import Limits
-from sandladder.mirror import Mirror
-from sandladder.model import ARRAY, NORMAL, Entry, JobSpec, MachineType, Placer, Report
-from sandladder.picture import Picture
-from sandladder.placement import Planner
-from sandladder.premises import Gate
-from sandladder.records import FORM, FORM_KEY, TEAM, form_value, placer_value
-from sandladder.settings import (
+from sandladder.agents.lease_expiry import LossProof
+from sandladder.agents.reconciler import Delivery
+from sandladder.config.settings import (
     Cloud,
     Deployment,
     External,
@@ -24,6 +17,19 @@
     TeamLimits,
     Workers,
 )
+from sandladder.jobs.transitions import start, submit
+from sandladder.model.agents import Entry, Report
+from sandladder.model.jobs import ARRAY, NORMAL, JobSpec, Placement
+from sandladder.model.machines import MachineType
+from sandladder.model.membership import Placer
+from sandladder.model.schema import FORM
+from sandladder.scheduling.cluster_view import Picture
+from sandladder.scheduling.planner import Planner
+from sandladder.scheduling.premises import Gate
+from sandladder.state.cache import Mirror
+from sandladder.state.records import FORM_KEY, TEAM, form_value, placer_value
+from sandladder.state.store_limits import Limits
+from sandladder.state.transaction import View
 
 NODE, TERM = "node-0", 1
 ZONES = ("a1", "a2", "b1", "b2")
