--- a/src/sandladder/agents/lease_expiry.py
+++ b/src/sandladder/agents/lease_expiry.py
@@ -5,16 +5,16 @@
 from collections.abc import Collection, Iterable, Iterator
 from typing import NamedTuple
 
-from sandladder.model.machines import Summary
+from sandladder.model.machines import MachineInventory
 
 
 class _Statement(NamedTuple):
-    summary: Summary
+    inventory: MachineInventory
     observed: float  # when it reached us
     made: float  # no later than when it was made
 
 
-class LossProof:
+class LeaseExpiryProof:
     """Proves that a silent machine's lease has run out, whoever may have answered it.
 
     A worker kills its tasks when no report of it was answered for the lease.  So the proof
@@ -75,34 +75,38 @@
         if not self._history or sent - self._history[-1][0] > self.needed_s / 100:
             self._history.append((sent, revision))
 
-    def observe(self, nodes: dict[str, Summary], now: float, opaque: Collection[str] = ()) -> None:
+    def observe(
+        self, nodes: dict[str, MachineInventory], now: float, unreadable_nodes: Collection[str] = ()
+    ) -> None:
         """Take in the summaries that stand in the records now.
 
         A controller whose summary cannot be read lives, and may have answered anyone.
         """
         own = nodes.get(self._node)
-        self._doubled = self._node in opaque or (own is not None and own.process != self._process)
+        self._doubled = self._node in unreadable_nodes or (
+            own is not None and own.process != self._process
+        )
         for name in self._others:
-            summary = nodes.get(name)
+            inventory = nodes.get(name)
             known = self._statements.get(name)
-            if name in opaque:
+            if name in unreadable_nodes:
                 self._statements.pop(name, None)
                 self._absent.pop(name, None)
                 continue
-            if summary is None:
+            if inventory is None:
                 self._statements.pop(name, None)
                 # The hold behind the summary has ended, so its owner had stopped by now.
                 self._absent.setdefault(name, now)
                 continue
             self._absent.pop(name, None)
-            if known is None or known.summary is not summary:
-                made = self._not_before(summary.revision)
-                self._statements[name] = _Statement(summary, now, made)
+            if known is None or known.inventory is not inventory:
+                made = self._not_before(inventory.revision)
+                self._statements[name] = _Statement(inventory, now, made)
 
-    def statements(self) -> Iterator[tuple[str, Summary, float]]:
+    def statements(self) -> Iterator[tuple[str, MachineInventory, float]]:
         """The other controllers' summaries and when they reached us."""
         for node, statement in self._statements.items():
-            yield node, statement.summary, statement.observed
+            yield node, statement.inventory, statement.observed
 
     def _not_before(self, revision: int) -> float:
         """A time at which the store had not yet reached this revision.
@@ -135,8 +139,8 @@
                     return False
                 last = max(last, absent)
                 continue
-            seen = statement.summary.machines.get(machine)
-            silent = seen.age_s if seen else min(statement.summary.up_s, self.listed_s)
+            seen = statement.inventory.machines.get(machine)
+            silent = seen.age_s if seen else min(statement.inventory.up_s, self.listed_s)
             last = max(last, statement.observed - silent)
             until = min(until, statement.made)
         return until - last >= self.needed_s
--- a/src/sandladder/agents/lease_renewal_guard.py
+++ b/src/sandladder/agents/lease_renewal_guard.py
@@ -15,8 +15,8 @@
 import math
 from collections.abc import Iterable
 
-from sandladder.config.settings import Workers
-from sandladder.model.agents import Stamp
+from sandladder.config.settings import WorkerSettings
+from sandladder.model.agents import ClockReading
 
 
 class _Peer:
@@ -28,22 +28,29 @@
         self.known = -math.inf  # what it had confirmed by then we know
 
 
-class Fence:
+class LeaseRenewalGuard:
     """Up to which moment this controller surely knows all cancellations told to users."""
 
-    def __init__(self, node: str, peers: Iterable[str], process: int, workers: Workers) -> None:
+    def __init__(
+        self, node: str, peers: Iterable[str], process: int, workers: WorkerSettings
+    ) -> None:
         self._node, self._process = node, process
         self._peers = {name: _Peer() for name in peers}
         self._age_s = workers.knowledge_s
         self._read = -math.inf  # when our newest reading of the state service was sent
-        self.echoes: dict[str, Stamp] = {}  # the latest stamp heard of each peer
+        self.echoes: dict[str, ClockReading] = {}  # the latest stamp heard of each peer
 
     def read(self, sent: float) -> None:
         """A reading of the state service that was sent then has come."""
         self._read = max(self._read, sent)
 
     def heard(
-        self, node: str, stamp: Stamp, echoes: dict[str, Stamp], whole: bool, now: float
+        self,
+        node: str,
+        stamp: ClockReading,
+        echoes: dict[str, ClockReading],
+        whole: bool,
+        now: float,
     ) -> None:
         """A beat came; `whole`: it named all cancelled jobs that its sender knows."""
         peer = self._peers.get(node)
--- a/src/sandladder/autoscaling/autoscaler.py
+++ b/src/sandladder/autoscaling/autoscaler.py
@@ -8,17 +8,17 @@
 import anyio
 
 from sandladder import clock
-from sandladder.autoscaling.cloud_client import CloudError, NoCapacity
-from sandladder.autoscaling.scaling_policy import Provisioner, RentalRequest
+from sandladder.autoscaling.cloud_client import CloudError, NoCapacityError
+from sandladder.autoscaling.scaling_policy import ScaleOutRequest, ScalingPolicy
 from sandladder.config.settings import split_addr
 from sandladder.model.machines import ListedMachine, Machine
 from sandladder.protocol import wire
-from sandladder.state.errors import NoLease, Refused, Unavailable
-from sandladder.state.group_commit import P_USER, P_WORK, Change
-from sandladder.state.instances import change_fleet, put_types
-from sandladder.state.records import FLEET_ITEM_BYTES, RENTER, machine_number
-from sandladder.state.store_client import Renewal
-from sandladder.state.transaction import View
+from sandladder.state.errors import LeaseExpiredError, PreconditionFailedError, StoreRequestError
+from sandladder.state.group_commit import P_USER, P_WORK, PendingChange
+from sandladder.state.instances import change_instances, put_types
+from sandladder.state.records import INSTANCE_RECORD_BYTES, RENTER, machine_number
+from sandladder.state.store_client import LeaseRenewal
+from sandladder.state.transaction import Transaction
 from sandladder.transport.http import HttpError
 
 if TYPE_CHECKING:
@@ -31,7 +31,7 @@
 _FLEET_PARTS = 4
 
 
-class Renter:
+class Autoscaler:
     """Rents and returns for the whole fleet while this controller holds that duty."""
 
     def __init__(self, controller: "Controller") -> None:
@@ -40,8 +40,8 @@
         self._lag_s = deployment.cloud.list_lag_s
         self._pause_s = max(controller.report_s / 3, 2 / deployment.cloud.rps)
         self._ttl_s = controller.lease_s / 3
-        self._provision = Provisioner(controller.picture)
-        self._held: Renewal | None = None
+        self._provision = ScalingPolicy(controller.cluster_view)
+        self._held: LeaseRenewal | None = None
         self._held_as = 0  # the version of the duty's record that is ours
         self._hires = 0
         self._listed: dict[str, float] = {}  # machine -> when a list last showed it
@@ -51,7 +51,7 @@
         self._next_write = 0.0
         self._news: dict[str, Machine | None] = {}  # of the fleet, to be written next
         value_bytes = deployment.state.value_kb * 1024
-        self._chunk_size = max(1, int(0.9 * value_bytes / FLEET_ITEM_BYTES))
+        self._chunk_size = max(1, int(0.9 * value_bytes / INSTANCE_RECORD_BYTES))
 
     async def run(self) -> None:
         """Learn the machine types; hold the duty when it is free, and carry it out."""
@@ -60,67 +60,75 @@
             if not self._c.watch.loaded:
                 continue
             try:
-                now = self._c.picture.now = clock.now()
-                self._c.picture.ahead = self._c.wall() - now
+                now = self._c.cluster_view.now = clock.now()
+                self._c.cluster_view.ahead = self._c.wall() - now
                 self._provision.learn()
                 await self._learn_types()
                 if await self._hold():
                     await self._act()
             except CloudError as error:
                 log.info("the cloud: %s", error)
-            except (Unavailable, NoLease, Refused, wire.Malformed) as error:
+            except (
+                StoreRequestError,
+                LeaseExpiredError,
+                PreconditionFailedError,
+                wire.MalformedMessageError,
+            ) as error:
                 log.info("renting pauses: %s", error)
 
     async def _learn_types(self) -> None:
-        if not self._c.mirror.term:
+        if not self._c.cache.term:
             return  # the first to enter says which form the records begin with
-        if self._c.mirror.types and (self._held is None or clock.now() < self._next_types):
+        if self._c.cache.types and (self._held is None or clock.now() < self._next_types):
             return
         types = await self._c.cloud.catalog()
         self._next_types = clock.now() + 2 * self._c.lease_s
-        if types == self._c.mirror.types:
+        if types == self._c.cache.types:
             return
 
-        def apply(view: View) -> bool:
-            put_types(view, types)
+        def apply(transaction: Transaction) -> bool:
+            put_types(transaction, types)
             return True
 
-        await self._c.committer.add(Change("machine types", P_WORK, 1, apply)).wait()
+        await self._c.committer.add(PendingChange("machine types", P_WORK, 1, apply)).wait()
 
     async def _hold(self) -> bool:
         """Whether the duty is surely ours; takes it when it is free."""
         now = clock.now()
-        if self._c.workers.deaf(now):
+        if self._c.agent_service.deaf(now):
             # We would take all machines for silent.  Whoever hears them takes the duty over.
             self._held = None
             return False
-        if self._held is not None and self._c.mirror.version(RENTER) != self._held_as:
+        if self._held is not None and self._c.cache.version(RENTER) != self._held_as:
             # Another process took it, one under our own name perhaps: two rented side by side.
             self._held = None
             return False
         if self._held is not None:
             if now > self._held.until - self._ttl_s * 0.6:
                 try:
-                    await self._c.state.renew(self._held.lease)
-                except NoLease:
+                    await self._c.store.renew(self._held.lease)
+                except LeaseExpiredError:
                     self._held = None
                     return False
-                self._held = Renewal(self._held.lease, now + 0.95 * self._ttl_s)
+                self._held = LeaseRenewal(self._held.lease, now + 0.95 * self._ttl_s)
             return clock.now() < self._held.until
         # A past life of ours may have left its mark; nobody else's is touched.
-        if self._c.mirror.renter not in (None, self._c.node) or not self._c.hold.alive():
+        if (
+            self._c.cache.autoscaler_node not in (None, self._c.node)
+            or not self._c.controller_lease.alive()
+        ):
             return False
-        lease = await self._c.state.hold(self._ttl_s)
+        lease = await self._c.store.grant_lease(self._ttl_s)
 
-        def apply(view: View) -> bool:
-            if view.mirror.renter not in (None, self._c.node):
-                raise Refused("another controller rents")
-            view.put(RENTER, self._c.node, view.mirror.version(RENTER), lease)
+        def apply(transaction: Transaction) -> bool:
+            if transaction.cache.autoscaler_node not in (None, self._c.node):
+                raise PreconditionFailedError("another controller rents")
+            transaction.put(RENTER, self._c.node, transaction.cache.version(RENTER), lease)
             return True
 
-        await self._c.committer.add(Change("renter", P_WORK, 1, apply, leased=True)).wait()
-        self._held = Renewal(lease, now + 0.95 * self._ttl_s)
-        self._held_as = self._c.mirror.version(RENTER)
+        await self._c.committer.add(PendingChange("renter", P_WORK, 1, apply, leased=True)).wait()
+        self._held = LeaseRenewal(lease, now + 0.95 * self._ttl_s)
+        self._held_as = self._c.cache.version(RENTER)
         self._news.clear()
         self._listed.clear()
         log.info("this controller rents now")
@@ -134,7 +142,7 @@
         await self._drain(wall)
         await self._return(wall)
         await self._write()
-        self._c.picture.now = clock.now()
+        self._c.cluster_view.now = clock.now()
         if log.isEnabledFor(logging.DEBUG):
             log.debug("fleet in cores: %s", self._provision.describe())
         # Asked for all at once: what else this duty sees to should not wait for refusals.
@@ -146,22 +154,22 @@
                 await anyio.sleep(0)  # it counts against the limit before the next one is begun
         await self._write()
 
-    async def _rent(self, rental: RentalRequest) -> None:
+    async def _rent(self, rental: ScaleOutRequest) -> None:
         try:
             await self._hire(rental)
-        except (CloudError, Refused, wire.Malformed) as error:
+        except (CloudError, PreconditionFailedError, wire.MalformedMessageError) as error:
             # Whatever came of it will show in the list.
             log.info("renting %s: %s", rental, error)
 
-    async def _hire(self, rental: RentalRequest) -> None:
+    async def _hire(self, rental: ScaleOutRequest) -> None:
         self._hires += 1
-        name = f"{self._c.node}-{self._c.delivery.term}-{self._hires}"
+        name = f"{self._c.node}-{self._c.reconciler.term}-{self._hires}"
         log.info("renting %s", rental)
         for attempt in range(3):
             try:
                 machines = await self._c.cloud.rent(name, rental)
                 break
-            except NoCapacity:
+            except NoCapacityError:
                 self._provision.refused(rental)
                 return
             except CloudError:
@@ -186,7 +194,7 @@
         as one transaction can hold; at once goes what proves that tasks are lost.
         """
         now = clock.now()
-        on_machine = self._c.mirror.on_machine
+        on_machine = self._c.cache.on_machine
         proves = any(r and r.state == "gone" and m in on_machine for m, r in self._news.items())
         if not proves and now < self._next_write:
             return
@@ -201,29 +209,29 @@
             }
             for machine in news:
                 del self._news[machine]
-            change = Change(
+            change = PendingChange(
                 "fleet",
                 P_USER,  # the room for others' work and proofs of loss wait for it
                 len(chosen),
-                partial(change_fleet, news=news, chunk_size=self._chunk_size),
+                partial(change_instances, news=news, chunk_size=self._chunk_size),
             )
             try:
                 await self._c.committer.add(change).wait()
-            except Refused:
+            except PreconditionFailedError:
                 self._news = news | self._news
                 raise
 
     def _record(self, machine: str) -> Machine | None:
         """A machine's record, with what is about to be written."""
-        return self._news.get(machine, self._c.mirror.fleet.get(machine))
+        return self._news.get(machine, self._c.cache.instances.get(machine))
 
     async def _compare(self, listed: list[ListedMachine], now: float, wall: float) -> None:
         """Adopt machines that are new to us and mark those that are gone."""
-        fleet = self._c.mirror.fleet
+        instances = self._c.cache.instances
         news: dict[str, Machine] = {}
         stuck = []
         for item in listed:
-            record = fleet.get(item.id)
+            record = instances.get(item.id)
             self._listed[item.id] = now
             self._addrs[item.id] = item.addr
             if record is None:
@@ -236,7 +244,7 @@
             if self._provision.stuck(item) and record is not None and record.state == "rented":
                 stuck.append(item.id)
         names = {item.id for item in listed}
-        for machine, record in fleet.items():
+        for machine, record in instances.items():
             last = self._listed.get(machine)
             # A list may be older than the one before it, by twice the lag at most.
             if machine in names or record.state == "gone" or last is None:
@@ -246,7 +254,7 @@
                 news[machine] = record._replace(state="gone", since=wall)
         for machine in stuck:
             log.info("machine %s does not come up", machine)
-            news[machine] = fleet[machine]._replace(state="draining", since=wall)
+            news[machine] = instances[machine]._replace(state="draining", since=wall)
         self._note(news)
         failed = [item.id for item in listed if item.state == "failed"]
         if failed:
@@ -256,12 +264,12 @@
         self._listed = {m: t for m, t in self._listed.items() if now - t < 10 * self._lag_s}
 
     def _forget_gone(self, wall: float) -> None:
-        mirror = self._c.mirror
+        cache = self._c.cache
         over = [
             machine
-            for machine, record in mirror.fleet.items()
+            for machine, record in cache.instances.items()
             if record.state == "gone"
-            and machine not in mirror.on_machine
+            and machine not in cache.on_machine
             and wall - record.since > 6 * self._lag_s
         ]
         # There is no hurry: they go along with other changes, or once they are many.
@@ -270,15 +278,17 @@
 
     async def _drain(self, wall: float) -> None:
         """Mark machines that are to be returned, so that nothing more is placed there."""
-        mirror = self._c.mirror
+        cache = self._c.cache
         chosen = {}
         for machine in self._provision.surplus(wall):
-            room = self._c.picture.room(machine)
+            capacity = self._c.cluster_view.capacity(machine)
             known = self._record(machine)
-            if room is not None and (known is None or known.state == "rented"):
+            if capacity is not None and (known is None or known.state == "rented"):
                 log.info("draining %s", machine)
-                chosen[machine] = Machine(room.type, room.zone, room.spot, "draining", wall)
-        if self._c.loss.up_s(clock.now()) > self._c.lease_s:
+                chosen[machine] = Machine(
+                    capacity.type, capacity.zone, capacity.spot, "draining", wall
+                )
+        if self._c.lease_expiry.up_s(clock.now()) > self._c.lease_s:
             doubtful = [
                 m
                 for m in self._provision.silent(wall)
@@ -286,7 +296,7 @@
             ]
             for machine in await self._unreachable(doubtful):
                 log.info("machine %s is silent", machine)
-                chosen[machine] = mirror.fleet[machine]._replace(state="draining", since=wall)
+                chosen[machine] = cache.instances[machine]._replace(state="draining", since=wall)
         self._note(chosen)
 
     async def _unreachable(self, machines: list[str]) -> list[str]:
@@ -309,16 +319,15 @@
 
     async def _return(self, wall: float) -> None:
         """Return drained machines, and silent ones whatever they were doing."""
-        mirror = self._c.mirror
+        cache = self._c.cache
         silent = set(self._provision.silent(wall))
         ready = [
             machine
-            for machine, record in mirror.fleet.items()
-            if record.state == "draining"
-            and (machine not in mirror.on_machine or machine in silent)
+            for machine, record in cache.instances.items()
+            if record.state == "draining" and (machine not in cache.on_machine or machine in silent)
         ][:100]
         if not ready:
             return
         await self._c.cloud.give_back(ready)
         log.info("returned %s", ready)
-        self._note({m: mirror.fleet[m]._replace(state="gone", since=wall) for m in ready})
+        self._note({m: cache.instances[m]._replace(state="gone", since=wall) for m in ready})
--- a/src/sandladder/autoscaling/cloud_client.py
+++ b/src/sandladder/autoscaling/cloud_client.py
@@ -1,9 +1,9 @@
 """The client of the cloud."""
 
-from sandladder.autoscaling.scaling_policy import RentalRequest
+from sandladder.autoscaling.scaling_policy import ScaleOutRequest
 from sandladder.model.machines import ListedMachine, MachineType
 from sandladder.protocol import wire
-from sandladder.state.token_bucket import Budget
+from sandladder.state.token_bucket import AdaptiveTokenBucket
 from sandladder.transport.http import HttpError, Requester, Response
 
 
@@ -11,7 +11,7 @@
     """The cloud gave no usable answer."""
 
 
-class NoCapacity(CloudError):
+class NoCapacityError(CloudError):
     """The cloud has none of these machines now."""
 
 
@@ -22,7 +22,7 @@
         """`timeout` in seconds; `rps`: the requests a second that the cloud takes."""
         self._client = client
         self._timeout = timeout
-        self.requests = Budget(rps)
+        self.requests = AdaptiveTokenBucket(rps)
 
     async def _request(self, method: str, target: str, body: bytes = b"") -> Response:
         self.requests.spend(1)
@@ -35,7 +35,7 @@
             raise CloudError("over the rate limit")
         self.requests.allowed()
         if answer.status == 503 and b"no capacity" in answer.body:
-            raise NoCapacity
+            raise NoCapacityError
         if answer.status != 200:
             raise CloudError(f"status {answer.status}")
         return answer
@@ -43,7 +43,7 @@
     async def catalog(self) -> dict[str, MachineType]:
         return wire.parse_catalog((await self._request("GET", wire.CATALOG)).body)
 
-    async def rent(self, name: str, rental: RentalRequest) -> list[str]:
+    async def rent(self, name: str, rental: ScaleOutRequest) -> list[str]:
         """Rent machines; the same name may be asked again and rents nothing more."""
         body = wire.hire_body(name, rental.type, rental.zone, rental.spot, rental.number)
         return wire.parse_hired((await self._request("POST", wire.MACHINES, body)).body)
--- a/src/sandladder/autoscaling/scaling_policy.py
+++ b/src/sandladder/autoscaling/scaling_policy.py
@@ -13,8 +13,8 @@
 from sandladder.model.machines import ListedMachine, Machine, MachineType
 from sandladder.model.quota import EPSILON, TeamUsage, headroom
 from sandladder.scheduling.bin_packing import Backlog, Bin, Shortage, ZoneShares, fill
-from sandladder.scheduling.cluster_view import SICK_ERRORS, Picture, allowed, likeness
-from sandladder.scheduling.premises import Room
+from sandladder.scheduling.cluster_view import SICK_ERRORS, ClusterView, allowed, likeness
+from sandladder.scheduling.premises import FreeCapacity
 
 log = logging.getLogger(__name__)
 
@@ -37,7 +37,7 @@
 _WASTEFUL_USE, _WASTEFUL_PRICE = 0.4, 1.6
 
 
-class RentalRequest(NamedTuple):
+class ScaleOutRequest(NamedTuple):
     """Machines of one type, zone and kind to ask the cloud for."""
 
     type: str
@@ -46,12 +46,12 @@
     number: int
 
 
-class Provisioner:
+class ScalingPolicy:
     """Decides on rentals and returns for the whole fleet."""
 
-    def __init__(self, picture: Picture) -> None:
-        self.picture = picture
-        deployment = picture.settings.platform.deployment
+    def __init__(self, cluster_view: ClusterView) -> None:
+        self.cluster_view = cluster_view
+        deployment = cluster_view.settings.platform.deployment
         self._lease_s = deployment.workers.lease_s
         self._report_s = deployment.workers.report_s
         self._refused: dict[tuple[str, str, bool], float] = {}
@@ -67,17 +67,19 @@
         # When, and how many cores were in use or asked for: by what cannot wait, and by all.
         self._demand: deque[tuple[float, float, float]] = deque()
         # Classes whose aim for the start is shorter than machines take to boot.
-        self._waits = picture.settings.waits
-        self._finishes = picture.settings.finishes
+        self._waits = cluster_view.settings.waits
+        self._finishes = cluster_view.settings.finishes
 
-    def refused(self, request: RentalRequest) -> None:
+    def refused(self, request: ScaleOutRequest) -> None:
         """The cloud had no capacity for this: ask again only later."""
-        self._refused[request.type, request.zone, request.spot] = self.picture.now + self._lease_s
+        self._refused[request.type, request.zone, request.spot] = (
+            self.cluster_view.now + self._lease_s
+        )
 
     def learn(self) -> None:
         """Remember what recent jobs of each class looked like, and how often they came."""
-        jobs = self.picture.mirror.jobs
-        now = self.picture.now
+        jobs = self.cluster_view.cache.jobs
+        now = self.cluster_view.now
         for job_id, job in jobs.items():
             if job_id in self._known:
                 continue
@@ -88,23 +90,23 @@
 
     def rental_requests(
         self, wall: float, unwritten: Mapping[str, Machine | None] | None = None
-    ) -> list[RentalRequest]:
+    ) -> list[ScaleOutRequest]:
         """What to rent now, the most urgent first, at the time of day `wall` in seconds.
 
         `unwritten` are machines' records that are not in the fleet records yet.  Seen in a
         measured day: what had just been rented was rented again until it was written down.
         """
-        picture = self.picture
-        if not picture.mirror.types:
+        cluster_view = self.cluster_view
+        if not cluster_view.cache.types:
             return []
-        fleet = picture.mirror.fleet | {m: r for m, r in (unwritten or {}).items() if r}
-        bins = self._bins(wall, fleet)
+        instances = cluster_view.cache.instances | {m: r for m, r in (unwritten or {}).items() if r}
+        bins = self._bins(wall, instances)
         shortages: list[Shortage] = []
-        teams = dict(picture.mirror.used)
-        ready = picture.mirror.pipelines.ready
+        teams = dict(cluster_view.cache.used)
+        ready = cluster_view.cache.dependency_index.ready
         jobs = sorted(
-            (job for job in picture.mirror.jobs.values() if job.waiting and ready(job)),
-            key=picture.order_key,
+            (job for job in cluster_view.cache.jobs.values() if job.waiting and ready(job)),
+            key=cluster_view.order_key,
         )
         backlog = Backlog()
         waiting = {True: 0.0, False: 0.0}
@@ -113,29 +115,31 @@
         full: set[tuple[object, ...]] = set()
         for job in jobs:
             spec, count = job.spec, self._startable(job, teams)
-            patient = picture.patient(job)
+            can_wait_for_boot = cluster_view.can_wait_for_boot(job)
             if spec.kind != SERVICE:
-                waiting[patient] += count * spec.cpus
-            zones, like = ZoneShares.of(job), likeness(spec, patient)
-            keep_gpus = picture.avoids_gpus(spec)
+                waiting[can_wait_for_boot] += count * spec.cpus
+            zones, like = ZoneShares.of(job), likeness(spec, can_wait_for_boot)
+            keep_gpus = cluster_view.avoids_gpus(spec)
             if spec.one_zone and zones is None and count:
                 zones = self._one_zone(spec, count, bins)
             missing = count
             if like not in full:
-                missing -= fill(spec, count, bins, patient, zones, keep_gpus)
+                missing -= fill(spec, count, bins, can_wait_for_boot, zones, keep_gpus)
                 if missing and zones is None:
                     full.add(like)
             backlog.add(spec, count, spec.estimate_s or self._lease_s)
             if missing:
-                worth = self._worth(job, missing, backlog, wall - picture.since(job), patient)
+                worth = self._worth(
+                    job, missing, backlog, wall - cluster_view.since(job), can_wait_for_boot
+                )
                 shortages += [shortage._replace(zones=zones) for shortage in worth]
         self._pressed = bool(shortages)
         self._note_demand(waiting)
         shortages += self._short()
-        for machine, record in picture.mirror.fleet.items():
+        for machine, record in cluster_view.cache.instances.items():
             if record.state == "draining":
-                for job, _, _ in picture.mirror.attempts_on(machine):
-                    keep_gpus = picture.avoids_gpus(job.spec)
+                for job, _, _ in cluster_view.cache.attempts_on(machine):
+                    keep_gpus = cluster_view.avoids_gpus(job.spec)
                     if job.spec.kind == SERVICE and not fill(
                         job.spec, 1, bins, keep_gpus=keep_gpus
                     ):
@@ -150,26 +154,26 @@
         return self._rent(shortages)
 
     def _bins(
-        self, wall: float, fleet: Mapping[str, Machine], without: Collection[str] = ()
+        self, wall: float, instances: Mapping[str, Machine], without: Collection[str] = ()
     ) -> list[Bin]:
-        picture = self.picture
+        cluster_view = self.cluster_view
         bins = []
         self._capacity = {True: 0.0, False: 0.0}
         self._gpu_capacity = {True: 0.0, False: 0.0}
-        heard = dict.fromkeys(picture.machines())
+        heard = dict.fromkeys(cluster_view.machines())
         self._came_up |= heard
-        self._came_up = {m: None for m in self._came_up if m in heard or m in fleet}
+        self._came_up = {m: None for m in self._came_up if m in heard or m in instances}
         for machine in heard:
-            room = picture.room(machine)
-            if room is not None and room.usable:
+            capacity = cluster_view.capacity(machine)
+            if capacity is not None and capacity.usable:
                 # What services hold serves no other work.
-                kind = picture.mirror.types[room.type]
-                self._capacity[room.spot] += kind.cpus - picture.services(machine)
-                self._gpu_capacity[room.spot] += kind.gpus
+                kind = cluster_view.cache.types[capacity.type]
+                self._capacity[capacity.spot] += kind.cpus - cluster_view.services(machine)
+                self._gpu_capacity[capacity.spot] += kind.gpus
                 if machine not in without:
-                    bins.append(self._bin(room))
-        for machine, record in fleet.items():
-            booting = picture.mirror.types.get(record.type)
+                    bins.append(self._bin(capacity))
+        for machine, record in instances.items():
+            booting = cluster_view.cache.types.get(record.type)
             if record.state != "rented" or machine in self._came_up or booting is None:
                 continue
             # A boot that takes long is no longer counted on.
@@ -184,7 +188,7 @@
         """How many waiting tasks the team's limit lets start; counts them as started."""
         spec = job.spec
         usage = teams.get(spec.team, TeamUsage())
-        count = headroom(self.picture.limits.get(spec.team), usage).tasks(spec, job.waiting)
+        count = headroom(self.cluster_view.limits.get(spec.team), usage).tasks(spec, job.waiting)
         teams[spec.team] = usage.plus(spec, count)
         return count
 
@@ -194,21 +198,21 @@
         The one with the most room, if that is enough or more can be rented there.  Without
         this, room for parts of a gang in several zones was counted as room for the gang.
         """
-        room = Counter({zone: 0 for kind in self._types_for(spec) for zone in kind.zones})
+        capacity = Counter({zone: 0 for kind in self._types_for(spec) for zone in kind.zones})
         for found in bins:
             if allowed(spec, Machine(*found.offer, "up", 0.0)):
-                room[found.offer[1]] += found.tasks(spec, tasks)
-        order = sorted(room, key=lambda zone: (-room[zone], zone))
-        able = [z for z in order if room[z] >= tasks or self._offered(spec, z)]
+                capacity[found.offer[1]] += found.tasks(spec, tasks)
+        order = sorted(capacity, key=lambda zone: (-capacity[zone], zone))
+        able = [z for z in order if capacity[z] >= tasks or self._offered(spec, z)]
         chosen = next(iter(able or order), None)
         return ZoneShares(tasks, Counter(), chosen)
 
     def _types_for(self, spec: JobSpec) -> list[MachineType]:
-        return [kind for kind in self.picture.mirror.types.values() if kind.fits(spec)]
+        return [kind for kind in self.cluster_view.cache.types.values() if kind.fits(spec)]
 
     def _offered(self, spec: JobSpec, zone: str) -> bool:
         """Whether a machine for such tasks may be rented in a zone, as far as the cloud said."""
-        now = self.picture.now
+        now = self.cluster_view.now
         return any(
             self._refused.get((kind.name, zone, spot), 0.0) <= now
             for kind in self._types_for(spec)
@@ -223,12 +227,12 @@
         next one counts.
         """
         spec = job.spec
-        boots = [t.boot_s for t in self.picture.mirror.types.values() if t.fits(spec)]
+        boots = [t.boot_s for t in self.cluster_view.cache.types.values() if t.fits(spec)]
         up_s = age_s + min(boots, default=0.0)
         run_s = 1.3 * spec.estimate_s
         late = [self._waits.get(spec.cls, math.inf)]
         late += [max(0.0, within - run_s) for within in self._finishes.get(spec.cls, ())]
-        due_s = self.picture.outlook(job).due - self.picture.since(job)
+        due_s = self.cluster_view.outlook(job).due - self.cluster_view.since(job)
         if due_s < math.inf:
             late.append(max(0.0, due_s - run_s))
         late = sorted(limit for limit in late if limit < math.inf)
@@ -237,7 +241,7 @@
         return next((limit for limit in late if limit >= up_s), late[-1])
 
     def _worth(
-        self, job: Job, missing: int, work: Backlog, age_s: float, patient: bool
+        self, job: Job, missing: int, work: Backlog, age_s: float, can_wait_for_boot: bool
     ) -> list[Shortage]:
         """What to rent for waiting tasks of a job, behind a backlog.
 
@@ -245,17 +249,17 @@
         start, the machines that are there eat the backlog.  Only what they leave is worth an
         ordinary machine; spot machines are rented early.
         """
-        picture, spec = self.picture, job.spec
-        priority = picture.outlook(job).priority
+        cluster_view, spec = self.cluster_view, job.spec
+        priority = cluster_view.outlook(job).priority
         if spec.kind == SERVICE or priority >= PRODUCTION:
             return [Shortage(spec, True, missing)]
-        boot_s, allowance = picture.boot_s(spec), self._allowance_s(job, age_s)
+        boot_s, allowance = cluster_view.boot_s(spec), self._allowance_s(job, age_s)
         # Work that needs GPUs waits for those alone, whatever cores there are.
         scarce = spec.gpus > 0
         backlog, need = (work.gpu_s, spec.gpus) if scarce else (work.core_s, spec.cpus)
         machines = self._gpu_capacity if scarce else self._capacity
         capacity = machines[True] if spec.spot else 0.0
-        if not patient:
+        if not can_wait_for_boot:
             capacity += machines[False]
         horizon = max(boot_s, allowance - age_s - boot_s)
         left = backlog - capacity * horizon
@@ -273,19 +277,19 @@
 
     def _note_demand(self, waiting: dict[bool, float]) -> None:
         """Remember how many cores are in use or asked for now, but for services."""
-        picture = self.picture
+        cluster_view = self.cluster_view
         cores = dict(waiting)
-        for job in picture.mirror.jobs.values():
+        for job in cluster_view.cache.jobs.values():
             if job.spec.kind != SERVICE and job.live:
-                cores[picture.patient(job)] += len(job.live) * job.spec.cpus
-        self._demand.append((picture.now, cores[False], cores[False] + cores[True]))
+                cores[cluster_view.can_wait_for_boot(job)] += len(job.live) * job.spec.cpus
+        self._demand.append((cluster_view.now, cores[False], cores[False] + cores[True]))
         span_s = _DEMAND_LEASES * self._lease_s
-        while self._demand[0][0] < picture.now - span_s:
+        while self._demand[0][0] < cluster_view.now - span_s:
             self._demand.popleft()
 
-    def _usual(self, patient: bool) -> float:
+    def _usual(self, can_wait_for_boot: bool) -> float:
         """How many cores are in use or asked for most of the time, of late."""
-        seen = sorted(sample[1 + patient] for sample in self._demand)
+        seen = sorted(sample[1 + can_wait_for_boot] for sample in self._demand)
         return seen[int(len(seen) * _DEMAND_SHARE)] if seen else 0.0
 
     def _short(self) -> list[Shortage]:
@@ -314,8 +318,8 @@
                 continue
             spec = recent[-1][1]
             sizes = sorted(spec.tasks for _, spec in recent)
-            ratio = self.picture.settings.operator.spare_jobs
-            boots = [t.boot_s for t in self.picture.mirror.types.values() if t.fits(spec)]
+            ratio = self.cluster_view.settings.operator.spare_jobs
+            boots = [t.boot_s for t in self.cluster_view.cache.types.values() if t.fits(spec)]
             boot_s = min(boots, default=0.0)
             if within < boot_s:
                 # Larger than most, and as much as arrivals vary while a machine boots.
@@ -328,7 +332,7 @@
             zones = ZoneShares((count + 1) // 2, Counter()) if spec.spread else None
             if spec.one_zone and count:
                 zones = self._one_zone(spec, count, bins)
-            keep_gpus = self.picture.avoids_gpus(spec)
+            keep_gpus = self.cluster_view.avoids_gpus(spec)
             missing = count - fill(spec, count, bins, zones=zones, keep_gpus=keep_gpus)
             if missing:
                 shortages.append((spec, missing, zones))
@@ -340,21 +344,23 @@
         arrived = [(at, spec) for at, spec in recent if at > recent[0][0]]
         if len(arrived) < 2:
             return 0
-        span_s = max(horizon_s, self.picture.now - recent[0][0])
+        span_s = max(horizon_s, self.cluster_view.now - recent[0][0])
         return round(math.sqrt(horizon_s / span_s * sum(spec.tasks**2 for _, spec in arrived)))
 
-    def _rent(self, shortages: list[Shortage]) -> list[RentalRequest]:
+    def _rent(self, shortages: list[Shortage]) -> list[ScaleOutRequest]:
         wanted: Counter[tuple[str, str, bool]] = Counter()
         fresh: list[Bin] = []
-        fleet = Counter((m.type, m.zone, m.spot) for m in self.picture.mirror.fleet.values())
+        instances = Counter(
+            (m.type, m.zone, m.spot) for m in self.cluster_view.cache.instances.values()
+        )
         least = min((shortage.spec.cpus for shortage in shortages), default=0.0)
         for index, shortage in enumerate(shortages):
-            keep_gpus = self.picture.avoids_gpus(shortage.spec)
+            keep_gpus = self.cluster_view.avoids_gpus(shortage.spec)
             count = shortage.number - fill(
                 shortage.spec, shortage.number, fresh, zones=shortage.zones, keep_gpus=keep_gpus
             )
             while count > 0:
-                choice = self._cheapest(count, shortages, index, wanted, fleet)
+                choice = self._cheapest(count, shortages, index, wanted, instances)
                 if choice is None:
                     break
                 kind, zone, spot = choice
@@ -371,7 +377,7 @@
                     fresh.append(new)
         # One request an offer: whether there are more of it is known once that is answered.
         return [
-            RentalRequest(kind, zone, spot, min(_MOST_HIRED, number))
+            ScaleOutRequest(kind, zone, spot, min(_MOST_HIRED, number))
             for (kind, zone, spot), number in wanted.items()
         ]
 
@@ -381,16 +387,16 @@
         shortages: list[Shortage],
         index: int,
         wanted: Counter[tuple[str, str, bool]],
-        fleet: Counter[tuple[str, str, bool]],
+        instances: Counter[tuple[str, str, bool]],
     ) -> tuple[MachineType, str, bool] | None:
         """The offer with the lowest price for each core that would be used, by so many tasks of
         the shortage at `index` and those that come after it.
         """
-        picture, shortage = self.picture, shortages[index]
+        cluster_view, shortage = self.cluster_view, shortages[index]
         spec = shortage.spec
         best: tuple[float, MachineType, str, bool] | None = None
-        avoids_gpus = picture.avoids_gpus(spec)
-        for kind in picture.mirror.types.values():
+        avoids_gpus = cluster_view.avoids_gpus(spec)
+        for kind in cluster_view.cache.types.values():
             if not kind.fits(spec) or (avoids_gpus and kind.gpus > 0):
                 continue
             used = self._used(kind, count, shortages, index)
@@ -405,11 +411,11 @@
                         continue
                     if shortage.zones is not None and not shortage.zones.left(zone):
                         continue
-                    if self._refused.get(offer, 0.0) > picture.now:
+                    if self._refused.get(offer, 0.0) > cluster_view.now:
                         continue
                     cost = price / max(used, 1e-6)
                     # Zones alike in price take turns.
-                    cost *= 1 + 0.01 * (fleet[offer] + wanted[offer])
+                    cost *= 1 + 0.01 * (instances[offer] + wanted[offer])
                     if best is None or cost < best[0]:
                         best = cost, kind, zone, spot
         return best[1:] if best else None
@@ -437,75 +443,86 @@
 
     def describe(self) -> str:
         """What the fleet is and what uses it, in cores, for the log."""
-        picture = self.picture
+        cluster_view = self.cluster_view
         cores: Counter[str] = Counter()
-        for machine in picture.machines():
-            room = picture.room(machine)
-            if room is None:
+        for machine in cluster_view.machines():
+            capacity = cluster_view.capacity(machine)
+            if capacity is None:
                 continue
-            kind = picture.mirror.types[room.type]
-            name = "spot" if room.spot else "ordinary"
+            kind = cluster_view.cache.types[capacity.type]
+            name = "spot" if capacity.spot else "ordinary"
             cores[name] += round(kind.cpus)
-            cores[f"{name} free" if room.usable else f"{name} unusable"] += round(room.cpus)
-            if room.cpus >= kind.cpus:
+            cores[f"{name} free" if capacity.usable else f"{name} unusable"] += round(capacity.cpus)
+            if capacity.cpus >= kind.cpus:
                 cores[f"{name} idle"] += round(kind.cpus)
-            for job, _, _ in picture.mirror.attempts_on(machine):
+            for job, _, _ in cluster_view.cache.attempts_on(machine):
                 cores[f"{name} for {job.spec.cls}"] += round(job.spec.cpus)
-        for machine, record in picture.mirror.fleet.items():
+        for machine, record in cluster_view.cache.instances.items():
             if record.state == "rented" and machine not in self._came_up:
                 name = "spot" if record.spot else "ordinary"
-                cores[f"{name} booting"] += round(picture.mirror.types[record.type].cpus)
+                cores[f"{name} booting"] += round(cluster_view.cache.types[record.type].cpus)
         return ", ".join(f"{name} {number}" for name, number in sorted(cores.items()))
 
     def surplus(self, wall: float) -> list[str]:
         """Machines to drain: idle for long, sick, or silent."""
-        picture = self.picture
-        now = picture.now
+        cluster_view = self.cluster_view
+        now = cluster_view.now
         idle = []
-        for machine in list(picture.machines()):
-            room = picture.room(machine)
-            busy = not picture.freed(machine) or any(True for _ in picture.gate.on_machine(machine))
-            if room is None or busy or not room.usable:
+        for machine in list(cluster_view.machines()):
+            capacity = cluster_view.capacity(machine)
+            busy = not cluster_view.freed(machine) or any(
+                True for _ in cluster_view.gate.on_machine(machine)
+            )
+            if capacity is None or busy or not capacity.usable:
                 self._idle_since.pop(machine, None)
                 continue
             # Renting anew costs a boot, so an idle machine is kept for about as long.
-            boot_s = picture.mirror.types[room.type].boot_s
-            keep_s = picture.settings.operator.idle_boots * boot_s
+            boot_s = cluster_view.cache.types[capacity.type].boot_s
+            keep_s = cluster_view.settings.operator.idle_boots * boot_s
             if now - self._idle_since.setdefault(machine, now) >= keep_s:
                 idle.append(machine)
         chosen = self._dispensable(idle, wall)
-        for machine in picture.machines():
-            sight = picture.sight(machine)
-            if sight is not None and sight.seen.errors >= SICK_ERRORS:
+        for machine in cluster_view.machines():
+            observation = cluster_view.observation(machine)
+            if observation is not None and observation.seen.errors >= SICK_ERRORS:
                 chosen.append(machine)
-        self._idle_since = {m: t for m, t in self._idle_since.items() if m in picture.machines()}
+        self._idle_since = {
+            m: t for m, t in self._idle_since.items() if m in cluster_view.machines()
+        }
         chosen += self._wasteful()
         return [m for m in dict.fromkeys(chosen) if self._state(m) not in ("draining", "gone")]
 
     def _wasteful(self) -> list[str]:
         """A large machine that little work holds, and that smaller ones could hold for less."""
-        picture = self.picture
-        if self._pressed or any(m.state == "draining" for m in picture.mirror.fleet.values()):
+        cluster_view = self.cluster_view
+        if self._pressed or any(
+            m.state == "draining" for m in cluster_view.cache.instances.values()
+        ):
             self._wasteful_since.clear()
             return []
         worst: tuple[float, str] | None = None
         seen = set()
-        for machine, room in picture.usable_rooms().items():
-            kind = picture.mirror.types[room.type]
-            if not picture.services(machine) or kind.cpus - room.cpus > _WASTEFUL_USE * kind.cpus:
+        for machine, capacity in cluster_view.usable_capacities().items():
+            kind = cluster_view.cache.types[capacity.type]
+            if (
+                not cluster_view.services(machine)
+                or kind.cpus - capacity.cpus > _WASTEFUL_USE * kind.cpus
+            ):
                 continue
             services = [
                 job.spec
-                for job, _, _ in picture.mirror.attempts_on(machine)
+                for job, _, _ in cluster_view.cache.attempts_on(machine)
                 if job.spec.kind == SERVICE
             ]
-            price = kind.spot_price if room.spot else kind.price
+            price = kind.spot_price if capacity.spot else kind.price
             cost = sum(self._lowest_price(spec) for spec in services)
             if price < _WASTEFUL_PRICE * cost:
                 continue
             seen.add(machine)
-            since = self._wasteful_since.setdefault(machine, picture.now)
-            if picture.now - since >= kind.boot_s and (worst is None or price - cost > worst[0]):
+            since = self._wasteful_since.setdefault(machine, cluster_view.now)
+            if cluster_view.now - since >= kind.boot_s and (
+                worst is None or price - cost > worst[0]
+            ):
                 worst = price - cost, machine
         self._wasteful_since = {m: t for m, t in self._wasteful_since.items() if m in seen}
         return [worst[1]] if worst else []
@@ -513,7 +530,7 @@
     def _lowest_price(self, spec: JobSpec) -> float:
         """What a task costs an hour on the ordinary machine that suits it best."""
         prices = []
-        for kind in self.picture.mirror.types.values():
+        for kind in self.cluster_view.cache.types.values():
             if kind.fits(spec) and kind.price > 0:
                 memory = kind.memory_gb / spec.memory_gb if spec.memory_gb else kind.cpus
                 prices.append(kind.price / max(1, int(min(kind.cpus / spec.cpus, memory))))
@@ -525,20 +542,20 @@
         Only when few are silent: if many are, it is rather we who cannot hear them, or their zone
         that is cut off and works on inside.  Seen in a measured day: half of the fleet was returned
         with all that ran there.  A controller whose summaries are held up may still hear some
-        of these, so each is asked directly before anything is done (see `Renter`).
+        of these, so each is asked directly before anything is done (see `Autoscaler`).
         """
-        picture = self.picture
+        cluster_view = self.cluster_view
         heard_lately = set()
         doubtful: dict[str, list[str]] = {}
         heard: Counter[str] = Counter()
-        limit = picture.settings.operator.silent_leases * self._lease_s
-        for machine in picture.machines():
-            sight = picture.sight(machine)
-            if sight is not None and picture.age_s(sight) <= limit:
+        limit = cluster_view.settings.operator.silent_leases * self._lease_s
+        for machine in cluster_view.machines():
+            observation = cluster_view.observation(machine)
+            if observation is not None and cluster_view.age_s(observation) <= limit:
                 heard_lately.add(machine)
-                heard[sight.seen.zone] += 1
+                heard[observation.seen.zone] += 1
         for machine in self._came_up:
-            record = picture.mirror.fleet.get(machine)
+            record = cluster_view.cache.instances.get(machine)
             if machine in heard_lately or record is None or record.state == "gone":
                 continue
             if wall - record.since > limit:
@@ -551,7 +568,7 @@
         ]
 
     def _state(self, machine: str) -> str:
-        record = self.picture.mirror.fleet.get(machine)
+        record = self.cluster_view.cache.instances.get(machine)
         return "unknown" if record is None else record.state
 
     def _dispensable(self, idle: list[str], wall: float) -> list[str]:
@@ -559,20 +576,23 @@
 
         At most a tenth of the fleet at a time: what the next moments bring is not known.
         """
-        picture = self.picture
+        cluster_view = self.cluster_view
         if not idle:
             return []
         kept = []
         for machine in idle:
-            room = picture.room(machine)
-            if room is not None:
-                kept.append((machine, self._bin(room)))
+            capacity = cluster_view.capacity(machine)
+            if capacity is not None:
+                kept.append((machine, self._bin(capacity)))
         # The dearest go first; spares are put on what is in use anyway, then on the cheapest.
         kept.sort(key=lambda item: (not item[1].offer[2], item[1].cpus, item[0]))
         self._spares(
-            [*self._bins(wall, picture.mirror.fleet, set(idle)), *(found for _, found in kept)]
+            [
+                *self._bins(wall, cluster_view.cache.instances, set(idle)),
+                *(found for _, found in kept),
+            ]
         )
-        whole = picture.mirror.types
+        whole = cluster_view.cache.types
         free = [
             (machine, found) for machine, found in kept if found.cpus == whole[found.offer[0]].cpus
         ]
@@ -580,18 +600,18 @@
         # wait for the other.
         cores = self._capacity[True] + self._capacity[False]
         chosen: list[str] = []
-        for machine, found in free[::-1][: max(1, len(picture.mirror.fleet) // 10)]:
+        for machine, found in free[::-1][: max(1, len(cluster_view.cache.instances) // 10)]:
             if cores - found.cpus >= self._usual(found.offer[2]):
                 cores -= found.cpus
                 chosen.append(machine)
         return chosen
 
-    def _bin(self, room: Room) -> Bin:
-        found = Bin(self.picture.mirror.types[room.type], room.zone, room.spot)
-        found.cpus, found.gpus, found.memory_gb = room.cpus, room.gpus, room.memory_gb
+    def _bin(self, capacity: FreeCapacity) -> Bin:
+        found = Bin(self.cluster_view.cache.types[capacity.type], capacity.zone, capacity.spot)
+        found.cpus, found.gpus, found.memory_gb = capacity.cpus, capacity.gpus, capacity.memory_gb
         return found
 
     def stuck(self, machine: ListedMachine) -> bool:
         """Whether a booting machine has taken so long that it will hardly come up."""
-        kind = self.picture.mirror.types.get(machine.type)
+        kind = self.cluster_view.cache.types.get(machine.type)
         return machine.state == "booting" and machine.age_s > 4 * (kind.boot_s if kind else 60.0)
--- a/src/sandladder/cli.py
+++ b/src/sandladder/cli.py
@@ -66,19 +66,19 @@
 
 async def _retire(settings: Settings, node: str) -> str | None:
     from sandladder.config.settings import split_addr
-    from sandladder.state.errors import Unavailable, UnknownOutcome
+    from sandladder.state.errors import StoreRequestError, UnknownOutcomeError
     from sandladder.state.schema_migration import retire
-    from sandladder.state.store_client import StateClient
+    from sandladder.state.store_client import StoreClient
     from sandladder.transport.http import Client
 
     if node not in settings.node_names:
         return f"{node} is not named in the settings"
     deployment = settings.platform.deployment
     client = Client(*split_addr(settings.platform.external.state))
-    state = StateClient(client, deployment.state, deployment.workers.lease_s)
+    state = StoreClient(client, deployment.state, deployment.workers.lease_s)
     try:
         return await retire(state, node)
-    except (Unavailable, UnknownOutcome) as error:
+    except (StoreRequestError, UnknownOutcomeError) as error:
         return f"the state service: {error}"
     finally:
         await client.aclose()
--- a/src/sandladder/config/settings.py
+++ b/src/sandladder/config/settings.py
@@ -60,7 +60,7 @@
 AIMS |= {"node_restarts"}
 
 
-class Workers(msgspec.Struct, frozen=True):
+class WorkerSettings(msgspec.Struct, frozen=True):
     """How workers behave in time."""
 
     report_s: float
@@ -132,7 +132,7 @@
     """The figures that all controllers share."""
 
     zones: list[str]
-    workers: Workers
+    workers: WorkerSettings
     state: State
     cloud: Cloud
     teams: list[TeamLimits] = []
--- a/src/sandladder/controller/controller.py
+++ b/src/sandladder/controller/controller.py
@@ -9,38 +9,38 @@
 from anyio.abc import TaskGroup
 
 from sandladder import clock
-from sandladder.agents.agent_service import Workers
-from sandladder.agents.lease_expiry import LossProof
-from sandladder.agents.lease_renewal_guard import Fence
-from sandladder.agents.reconciler import Delivery
-from sandladder.api.job_api import Users
-from sandladder.autoscaling.autoscaler import Renter
+from sandladder.agents.agent_service import AgentService
+from sandladder.agents.lease_expiry import LeaseExpiryProof
+from sandladder.agents.lease_renewal_guard import LeaseRenewalGuard
+from sandladder.agents.reconciler import Reconciler
+from sandladder.api.job_api import JobApi
+from sandladder.autoscaling.autoscaler import Autoscaler
 from sandladder.autoscaling.cloud_client import CloudClient
 from sandladder.concurrency import Signal
 from sandladder.config.settings import Settings, split_addr
-from sandladder.jobs.dependency_resolver import Following
-from sandladder.jobs.job_committer import Work
+from sandladder.jobs.dependency_resolver import DependencyResolver
+from sandladder.jobs.job_committer import JobCommitter
 from sandladder.jobs.transitions import stop
-from sandladder.membership.controller_lease import Hold
-from sandladder.membership.duty import Membership
-from sandladder.membership.grading import Ears
-from sandladder.membership.steward import Steward
+from sandladder.membership.controller_lease import ControllerLease
+from sandladder.membership.failure_detector import FailureDetector
+from sandladder.membership.policy import MembershipPolicy
+from sandladder.membership.service import MembershipService
 from sandladder.model.jobs import HIGH, LOW, Job
-from sandladder.peers.peer_service import Peers
+from sandladder.peers.peer_service import PeerService
 from sandladder.protocol import wire
-from sandladder.scheduling.cluster_view import Picture
+from sandladder.scheduling.cluster_view import ClusterView
 from sandladder.scheduling.planner import Planner
-from sandladder.scheduling.preemption import Evictor, Victim
+from sandladder.scheduling.preemption import PreemptionPolicy, PreemptionVictim
 from sandladder.scheduling.premises import Gate, Outcome, Resource
-from sandladder.state.cache import Mirror
-from sandladder.state.errors import Refused
-from sandladder.state.group_commit import P_WORK, Change, Committer
-from sandladder.state.records import FINAL, FLEET, JOB, NODE, ROSTER, TEAM, TYPES
-from sandladder.state.schema_migration import Upgrade
-from sandladder.state.store_client import StateClient
-from sandladder.state.store_limits import Limits
-from sandladder.state.transaction import View
-from sandladder.state.watch import Watch
+from sandladder.state.cache import StateCache
+from sandladder.state.errors import PreconditionFailedError
+from sandladder.state.group_commit import P_WORK, GroupCommitter, PendingChange
+from sandladder.state.records import FINAL, INSTANCE, JOB, NODE, ROSTER, TEAM, TYPES
+from sandladder.state.schema_migration import SchemaMigration
+from sandladder.state.store_client import StoreClient
+from sandladder.state.store_limits import StoreLimits
+from sandladder.state.transaction import Transaction
+from sandladder.state.watch import StoreWatch
 from sandladder.transport import peer_transport
 from sandladder.transport.http import Client, Connect, Server
 
@@ -70,36 +70,40 @@
         workers = deployment.workers
         self.report_s, self.lease_s = workers.report_s, workers.lease_s
         # A request to the state service that takes this long is given up.
-        self.state_timeout_s = self.lease_s / 8
-        self.beat_s = self.report_s / 6
+        self.store_timeout_s = self.lease_s / 8
+        self.heartbeat_interval_s = self.report_s / 6
 
-        self.mirror = Mirror()
-        self.delivery = Delivery()
-        self.loss = LossProof(self.node, self.nodes, self.lease_s, clock.now(), self.process)
+        self.cache = StateCache()
+        self.reconciler = Reconciler()
+        self.lease_expiry = LeaseExpiryProof(
+            self.node, self.nodes, self.lease_s, clock.now(), self.process
+        )
         peers = [name for name in self.nodes if name != self.node]
-        self.fence = Fence(self.node, peers, self.process, workers)
-        self.limits = Limits(deployment.state, self.mirror)
+        self.renewal_guard = LeaseRenewalGuard(self.node, peers, self.process, workers)
+        self.limits = StoreLimits(deployment.state, self.cache)
         self.gate = Gate()
-        self.picture = Picture(settings, self.mirror, self.delivery, self.loss, self.gate)
-        self.planner = Planner(self.picture, self.limits, rng)
-        self.evictor = Evictor(self.planner)
-        self.hold = Hold(self)
-        self.peers = Peers(self)
-        self.workers = Workers(self)
-        self.users = Users(self)
-        self.work = Work(self)
-        self.following = Following(self)
-        self.upgrade = Upgrade(self)
+        self.cluster_view = ClusterView(
+            settings, self.cache, self.reconciler, self.lease_expiry, self.gate
+        )
+        self.planner = Planner(self.cluster_view, self.limits, rng)
+        self.preemption = PreemptionPolicy(self.planner)
+        self.controller_lease = ControllerLease(self)
+        self.peers = PeerService(self)
+        self.agent_service = AgentService(self)
+        self.job_api = JobApi(self)
+        self.job_committer = JobCommitter(self)
+        self.dependency_resolver = DependencyResolver(self)
+        self.schema_migration = SchemaMigration(self)
         host, port = split_addr(settings.platform.external.state)
-        self.state = StateClient(
-            connect(host, port, keep=6), deployment.state, self.state_timeout_s
+        self.store = StoreClient(
+            connect(host, port, keep=6), deployment.state, self.store_timeout_s
         )
-        self.watch = Watch(
-            self.state, self.mirror, len(self.nodes), self._changed, self._synced, self.report_s
+        self.watch = StoreWatch(
+            self.store, self.cache, len(self.nodes), self._changed, self._synced, self.report_s
         )
-        self.committer = Committer(
-            self.state,
-            self.mirror,
+        self.committer = GroupCommitter(
+            self.store,
+            self.cache,
             self.watch,
             rng,
             self._changed,
@@ -111,27 +115,27 @@
         self.cloud = CloudClient(
             connect(host, port, keep=2), self.lease_s / 3, deployment.cloud.rps
         )
-        self.renter = Renter(self)
-        ears = Ears(
+        self.autoscaler = Autoscaler(self)
+        detector = FailureDetector(
             self.node,
             peers,
-            self.beat_s,
+            self.heartbeat_interval_s,
             self.report_s,
-            self.picture.summary_s,
+            self.cluster_view.inventory_interval_s,
         )
         teams = [team.name for team in deployment.teams]
-        self.membership = Membership(
-            Steward(ears, self.nodes, teams, self.mirror),
+        self.membership = MembershipService(
+            MembershipPolicy(detector, self.nodes, teams, self.cache),
             {p.node_name: p.location for p in settings.platform.peers}
             | {self.node: settings.platform.location},
-            self.mirror,
+            self.cache,
             self.committer,
-            self.hold,
-            self.state_ok,
+            self.controller_lease,
+            self.store_reachable,
             self.limits,
             wall,
             self._moved,
-            self.picture.doubt_clerks,
+            self.cluster_view.doubt_controllers,
         )
         self.plan_due = Signal()
         self._urgent_due = Signal()  # something that must start at once waits
@@ -145,24 +149,24 @@
             for duty in (
                 self.watch.run,
                 self.committer.run,
-                self.hold.run,
-                self.hold.summarise,
-                self.upgrade.run,
+                self.controller_lease.run,
+                self.controller_lease.summarise,
+                self.schema_migration.run,
                 self.membership.run,
-                self.following.run,
+                self.dependency_resolver.run,
                 self._plan,
-                self.workers.sweep,
+                self.agent_service.sweep,
                 self._tell,
-                self.renter.run,
+                self.autoscaler.run,
             ):
                 tasks.start_soon(self._duty, duty)
 
     async def leave(self) -> None:
         """End in order: hand over what is placed here, tell the others, and stop serving."""
         await self.membership.leave(self.report_s)
-        for link in self.peers.links.values():
-            link.nudge()
-        await anyio.sleep(self.beat_s / 6)
+        for link in self.peers.connections.values():
+            link.flush()
+        await anyio.sleep(self.heartbeat_interval_s / 6)
         if self.tasks is not None:
             self.tasks.cancel_scope.cancel()
 
@@ -171,7 +175,7 @@
         platform = self.settings.platform
         host, port = split_addr(platform.api_addr)
         server = Server(
-            self.users.handle,
+            self.job_api.handle,
             body_limit=wire.BODY_LIMIT,
             idle_s=20 * self.lease_s,
             read_s=self.report_s,
@@ -182,11 +186,11 @@
             peer_transport.serve,
             platform.mesh_addr,
             8 * len(self.nodes),
-            20 * self.beat_s,
-            self.peers.hear,
+            20 * self.heartbeat_interval_s,
+            self.peers.handle,
         )
-        for link in self.peers.links.values():
-            tasks.start_soon(link.run, self.peers.beat)
+        for link in self.peers.connections.values():
+            tasks.start_soon(link.run, self.peers.heartbeat)
 
     async def _duty(self, duty: Callable[[], Awaitable[None]]) -> None:
         """Run a duty; one that fails unexpectedly is logged and started again alone."""
@@ -201,59 +205,59 @@
         log.exception("a duty failed: %s", name)
 
     def _synced(self, sent: float) -> None:
-        self.loss.synced(sent, self.mirror.revision)
-        self.mirror.synced(sent)
-        self.fence.read(sent)
+        self.lease_expiry.synced(sent, self.cache.revision)
+        self.cache.synced(sent)
+        self.renewal_guard.read(sent)
 
     def _changed(self, keys: dict[str, None]) -> None:
         """The records changed: check the premises that this reaches, and deliver."""
-        now = self.picture.now = clock.now()
+        now = self.cluster_view.now = clock.now()
         if any(key.startswith(NODE) for key in keys):
-            self.loss.observe(self.mirror.nodes, now, self.mirror.opaque)
-            self.hold.observe()
+            self.lease_expiry.observe(self.cache.nodes, now, self.cache.unreadable_nodes)
+            self.controller_lease.observe()
             self.membership.observe(now)
-            self.picture.observe()
+            self.cluster_view.observe()
         if ROSTER in keys:
             self.membership.observe(now)
         if TYPES in keys:
-            self.picture.recount()
-        elif any(key.startswith(FLEET) for key in keys):
-            self.picture.relist()
+            self.cluster_view.recount()
+        elif any(key.startswith(INSTANCE) for key in keys):
+            self.cluster_view.relist()
         resources: list[Resource] = []
-        touched, self.mirror.touched = self.mirror.touched, {}
-        begun, self.mirror.begun = self.mirror.begun, {}
-        for machine in touched:
-            self.picture.touch(machine)
+        changed_machines, self.cache.changed_machines = self.cache.changed_machines, {}
+        started_tasks, self.cache.started_tasks = self.cache.started_tasks, {}
+        for machine in changed_machines:
+            self.cluster_view.touch(machine)
             resources.append(("machine", machine))
-        for job_id, task in begun:
+        for job_id, task in started_tasks:
             resources.append(("task", f"{job_id}/{task}"))
-            job = self.mirror.jobs.get(job_id)
+            job = self.cache.jobs.get(job_id)
             if job is not None and task in job.live:
-                self.picture.note_start(job.spec, job.live[task])
+                self.cluster_view.note_start(job.spec, job.live[task])
         for key in keys:
             if key.startswith((JOB, FINAL)):
                 resources.append(("job", key[len(JOB) :]))
-                job = self.mirror.jobs.get(key[len(JOB) :])
-                if job and job.waiting and self.picture.outlook(job).priority >= HIGH:
+                job = self.cache.jobs.get(key[len(JOB) :])
+                if job and job.waiting and self.cluster_view.outlook(job).priority >= HIGH:
                     self._urgent_due.set()
             elif key.startswith(TEAM):
                 resources.append(("team", key[len(TEAM) :]))
-        for verdict in self.gate.changed(resources, self.picture):
+        for verdict in self.gate.changed(resources, self.cluster_view):
             if verdict.outcome >= Outcome.REPLAN:
                 log.debug(
-                    "%s %s on %s: %s", verdict.outcome.name, verdict.intent.key,
-                    verdict.intent.placement.machine, verdict.reason,
+                    "%s %s on %s: %s", verdict.outcome.name, verdict.pending_start.key,
+                    verdict.pending_start.placement.machine, verdict.reason,
                 )  # fmt: skip
-        for machine in touched:
-            dialogue = self.delivery.machines.get(machine)
-            if dialogue is not None:
-                self.workers.push(dialogue)
-        self.following.due.set()
+        for machine in changed_machines:
+            agent = self.reconciler.machines.get(machine)
+            if agent is not None:
+                self.agent_service.push(agent)
+        self.dependency_resolver.due.set()
         self.plan_due.set()
 
     def _moved(self) -> None:
         """A team came or went: see it in the records, and plan."""
-        self.watch.poke()
+        self.watch.wake()
         self.plan_due.set()
 
     def _owned(self) -> list[Job]:
@@ -262,22 +266,26 @@
             for team in self.settings.platform.deployment.teams
             if self.peers.places(team.name)
         }
-        return [job for job in self.mirror.jobs.values() if job.spec.team in mine]
+        return [job for job in self.cache.jobs.values() if job.spec.team in mine]
 
     async def _plan(self) -> None:
         while True:
             await self.plan_due.wait(min(self.report_s, self.planner.again_s))
-            if not self.hold.alive() or not self.watch.loaded or not self.mirror.types:
+            if not self.controller_lease.alive() or not self.watch.loaded or not self.cache.types:
                 await anyio.sleep(self.report_s / 10)
                 continue
-            began = self.picture.now = clock.now()
-            self.picture.ahead = self.wall() - began
+            began = self.cluster_view.now = clock.now()
+            self.cluster_view.ahead = self.wall() - began
             owned = self._owned()
             # What cannot be written yet would only grow stale: another controller takes the room.
             soon = self.committer.free_in_s <= self.report_s / 16
-            admitted = self.planner.plan(owned, self.work.barred, LOW if soon else HIGH)
-            self.work.start(admitted)
-            for victim in self.evictor.preempt(owned, self.work.barred) + self.evictor.moves(owned):
+            admitted = self.planner.plan(
+                owned, self.job_committer.backing_off, LOW if soon else HIGH
+            )
+            self.job_committer.start(admitted)
+            for victim in self.preemption.preempt(
+                owned, self.job_committer.backing_off
+            ) + self.preemption.moves(owned):
                 self._commit_stop(victim)
             # Planning may take a quarter of our time; the more there is to do, the more
             # is done at once.  Without urgent work the next round can wait for more of it: seen
@@ -287,27 +295,27 @@
             if not self.planner.urgent:
                 await self._urgent_due.wait(self.report_s / 12)
 
-    def _commit_stop(self, victim: Victim) -> None:
+    def _commit_stop(self, victim: PreemptionVictim) -> None:
         """Have a running task stopped so that more urgent work gets its room."""
         log.info("stopping %s/%d for %s", *victim[:2], victim.reason)
 
-        def apply(view: View) -> bool:
-            return stop(view, victim.job, [victim.task], victim.grace_s)
+        def apply(transaction: Transaction) -> bool:
+            return stop(transaction, victim.job, [victim.task], victim.grace_s)
 
-        change = self.committer.add(Change(f"stop in {victim.job}", P_WORK, 1, apply))
+        change = self.committer.add(PendingChange(f"stop in {victim.job}", P_WORK, 1, apply))
         assert self.tasks is not None
         self.tasks.start_soon(self._after_stop, change, victim)
 
-    async def _after_stop(self, change: Change, victim: Victim) -> None:
+    async def _after_stop(self, change: PendingChange, victim: PreemptionVictim) -> None:
         try:
             await change.wait()
-        except Refused as refusal:
+        except PreconditionFailedError as refusal:
             log.debug("%s: %s", change.name, refusal)
         finally:
-            self.evictor.settled(victim)
-        sight = self.picture.sight(victim.machine)
-        if sight is not None:
-            self.peers.poke({sight.clerk})
+            self.preemption.settled(victim)
+        observation = self.cluster_view.observation(victim.machine)
+        if observation is not None:
+            self.peers.notify({observation.reporting_controller})
 
     async def _tell(self) -> None:
         """Log now and then how much was checked, committed and rejected."""
@@ -327,5 +335,5 @@
                 self.committer.queued,
             )
 
-    def state_ok(self) -> bool:
-        return clock.now() - self.state.ok_at < self.report_s / 2
+    def store_reachable(self) -> bool:
+        return clock.now() - self.store.ok_at < self.report_s / 2
--- a/src/sandladder/jobs/dependency_resolver.py
+++ b/src/sandladder/jobs/dependency_resolver.py
@@ -8,11 +8,11 @@
 from sandladder import clock
 from sandladder.concurrency import Signal
 from sandladder.jobs.transitions import cancel
-from sandladder.model.jobs import Final
-from sandladder.state.errors import Refused, Unavailable
-from sandladder.state.group_commit import P_USER, Change
-from sandladder.state.records import FINAL, read_final
-from sandladder.state.transaction import View
+from sandladder.model.jobs import FinishedJob
+from sandladder.state.errors import PreconditionFailedError, StoreRequestError
+from sandladder.state.group_commit import P_USER, PendingChange
+from sandladder.state.records import FINAL, read_finished_job
+from sandladder.state.transaction import Transaction
 
 if TYPE_CHECKING:
     from sandladder.controller.controller import Controller
@@ -23,7 +23,7 @@
 _AT_ONCE = 8
 
 
-class Following:
+class DependencyResolver:
     """Reads what awaited jobs came to, and cancels the jobs that can never start.
 
     Everything is derived from the records: whoever lives finishes it, after any crash.
@@ -44,44 +44,44 @@
                 continue
             try:
                 now = clock.now()
-                names = c.mirror.pipelines.unknown()
+                names = c.cache.dependency_index.unknown()
                 await self.resolve([n for n in names if self._missing.get(n, now) <= now])
-            except Unavailable as error:
+            except StoreRequestError as error:
                 log.debug("what awaited jobs came to cannot be read: %s", error)
                 await anyio.sleep(c.report_s / 4)
-            if c.hold.alive():
+            if c.controller_lease.alive():
                 self._cancel_doomed()
 
     async def resolve(self, names: list[str]) -> None:
         """Read what awaited jobs came to that are not live."""
-        for name, final in (await self.finals(names)).items():
+        for name, final in (await self.finished_jobs(names)).items():
             if final is not None:
                 self._missing.pop(name, None)
                 self._c.plan_due.set()
-            elif name not in self._c.mirror.jobs:
+            elif name not in self._c.cache.jobs:
                 # Named by an accepted job, so accepted, and gone: what needs it stays closed.
                 if name not in self._missing:
                     log.error("nothing is known of %s, which others wait for", name)
                 self._missing[name] = clock.now() + self._c.lease_s
 
-    async def finals(self, names: list[str]) -> dict[str, Final | None]:
+    async def finished_jobs(self, names: list[str]) -> dict[str, FinishedJob | None]:
         """What these jobs came to, as read now where it is not known already."""
-        mirror = self._c.mirror
-        found: dict[str, Final | None] = {name: mirror.final(name) for name in names}
+        cache = self._c.cache
+        found: dict[str, FinishedJob | None] = {name: cache.final(name) for name in names}
         left = [name for name, final in found.items() if final is None]
-        failures: list[Unavailable] = []
+        failures: list[StoreRequestError] = []
 
         async def read() -> None:
             while left and not failures:
                 name = left.pop()
                 try:
-                    stored = await self._c.state.get(FINAL + name)
-                except Unavailable as error:
+                    stored = await self._c.store.get(FINAL + name)
+                except StoreRequestError as error:
                     failures.append(error)
                     return
                 if stored is not None:
-                    final = found[name] = read_final(*stored)
-                    mirror.remember(name, final)
+                    final = found[name] = read_finished_job(*stored)
+                    cache.remember(name, final)
 
         async with anyio.create_task_group() as tasks:
             for _ in range(min(_AT_ONCE, len(left))):
@@ -93,12 +93,12 @@
     def _cancel_doomed(self) -> None:
         c = self._c
         now = clock.now()
-        doomed = {job.id: job.spec.team for job in c.mirror.pipelines.doomed()}
+        doomed = {job.id: job.spec.team for job in c.cache.dependency_index.doomed()}
         self._doomed_since = {job_id: self._doomed_since.get(job_id, now) for job_id in doomed}
         patience_s = c.settings.platform.deployment.workers.cancel_s / 8
         for job_id, team in doomed.items():
             late = now - self._doomed_since[job_id] > patience_s
-            if job_id not in self._under_way and (late or c.peers.owner(team) == c.node):
+            if job_id not in self._under_way and (late or c.peers.assignee(team) == c.node):
                 self._under_way.add(job_id)
                 assert c.tasks is not None
                 c.tasks.start_soon(self._cancel, job_id)
@@ -107,13 +107,13 @@
         c = self._c
         log.info("%s is cancelled with a job that it needs", job_id)
 
-        def apply(view: View) -> bool:
-            cancel(view, job_id, c.wall())
+        def apply(transaction: Transaction) -> bool:
+            cancel(transaction, job_id, c.wall())
             return True
 
         try:
-            await c.committer.add(Change(f"cancel {job_id}", P_USER, 2, apply)).wait()
-        except Refused as refusal:
+            await c.committer.add(PendingChange(f"cancel {job_id}", P_USER, 2, apply)).wait()
+        except PreconditionFailedError as refusal:
             log.debug("%s: %s", job_id, refusal)
         finally:
             self._under_way.discard(job_id)
--- a/src/sandladder/jobs/transitions.py
+++ b/src/sandladder/jobs/transitions.py
@@ -1,6 +1,6 @@
 """What may happen to jobs: the changes that get committed, and the proof that work is lost.
 
-A change is evaluated on a `View` of the records, which notes every version it relied on, so
+A change is evaluated on a `Transaction` of the records, which notes every version it relied on, so
 that the commit binds exactly what was checked.  Pure: no I/O, no clock.
 """
 
@@ -15,72 +15,82 @@
     GANG,
     SERVICE,
     Attempt,
-    Ended,
-    Final,
+    EndedAttempt,
+    FinishedJob,
     Job,
     JobSpec,
     Placement,
     zones_allowed,
 )
 from sandladder.model.machines import MachineType
-from sandladder.model.membership import Placer
+from sandladder.model.membership import TeamAssignment
 from sandladder.model.quota import TeamUsage, headroom
-from sandladder.state.errors import Refused
+from sandladder.state.errors import PreconditionFailedError
 from sandladder.state.records import (
     FINAL,
     JOB,
     TEAM,
-    final_value,
+    finished_job_value,
 )
-from sandladder.state.transaction import View
+from sandladder.state.transaction import Transaction
 
 
-class Needs(NamedTuple):
+class SubmittedDependencies(NamedTuple):
     """What a submission names: jobs that are not done yet, and what is known of the rest."""
 
     live: tuple[str, ...] = ()
     doomed: bool = False  # one of them is cancelled
 
 
-def submit(view: View, spec: JobSpec, now: float, needs: Needs | None = None) -> None:
+def submit(
+    transaction: Transaction, spec: JobSpec, now: float, needs: SubmittedDependencies | None = None
+) -> None:
     """Accept a job."""
-    if spec.id in view.jobs or spec.id in view.mirror.jobs or view.mirror.final(spec.id):
-        raise Refused("known")
-    needs = needs or Needs()
-    if view.plain and needs.live:
+    if (
+        spec.id in transaction.jobs
+        or spec.id in transaction.cache.jobs
+        or transaction.cache.final(spec.id)
+    ):
+        raise PreconditionFailedError("known")
+    needs = needs or SubmittedDependencies()
+    if transaction.is_schema_v1 and needs.live:
         # The version before would drop the names with its next writing, and start the job.
-        raise Refused("not all controllers know of jobs that wait for others")
+        raise PreconditionFailedError("not all controllers know of jobs that wait for others")
     job = Job(spec, now, needs.live)
-    view.create(job)
+    transaction.create(job)
     if needs.doomed:
-        view.finish(job, CANCELLED, now)
+        transaction.finish(job, CANCELLED, now)
 
 
-def cancel(view: View, job_id: str, now: float) -> None:
+def cancel(transaction: Transaction, job_id: str, now: float) -> None:
     """Cancel a live job: nothing of it starts any more, and what runs is stopped."""
-    job = view.job(job_id)
+    job = transaction.job(job_id)
     if job is None:
-        raise Refused("not live")
+        raise PreconditionFailedError("not live")
     if job.cancelled:
-        raise Refused("cancelled already")
+        raise PreconditionFailedError("cancelled already")
     job.cancelled = True
     if not job.live:
-        view.finish(job, CANCELLED, now)
+        transaction.finish(job, CANCELLED, now)
 
 
-def end(view: View, ended: Iterable[Ended], now: float) -> bool:
+def end(transaction: Transaction, ended: Iterable[EndedAttempt], now: float) -> bool:
     """Record proved ends; False when none of them was news."""
     news = False
     for item in ended:
-        job = view.mirror.jobs.get(item.job) if item.job not in view.jobs else view.jobs[item.job]
+        job = (
+            transaction.cache.jobs.get(item.job)
+            if item.job not in transaction.jobs
+            else transaction.jobs[item.job]
+        )
         if job is None or not _same(job.live.get(item.task), item.attempt):
             continue
-        job = view.job(item.job)
+        job = transaction.job(item.job)
         if job is None:
             continue  # its record cannot be read now
         news = True
         del job.live[item.task]
-        view.hold(job, -1)
+        transaction.change_usage(job, -1)
         if item.outcome == "done" and job.spec.kind != SERVICE:
             job.done.add(item.task)
             job.errors = 0
@@ -93,9 +103,9 @@
                     job.live[task] = attempt._replace(stop=0.0)
         if not job.live:
             if job.cancelled:
-                view.finish(job, CANCELLED, now)
+                transaction.finish(job, CANCELLED, now)
             elif job.complete:
-                view.finish(job, DONE, now)
+                transaction.finish(job, DONE, now)
     return news
 
 
@@ -103,9 +113,9 @@
     return live is not None and live[:4] == other[:4]
 
 
-def stop(view: View, job_id: str, tasks: Iterable[int], grace_s: float) -> bool:
+def stop(transaction: Transaction, job_id: str, tasks: Iterable[int], grace_s: float) -> bool:
     """Mark attempts to be stopped; a gang is stopped as a whole."""
-    job = view.job(job_id)
+    job = transaction.job(job_id)
     if job is None or job.cancelled:
         return False
     chosen = list(job.live) if job.spec.kind == GANG else [t for t in tasks if t in job.live]
@@ -119,94 +129,96 @@
 
 
 def start(
-    view: View,
+    transaction: Transaction,
     job_id: str,
     placements: list[Placement],
     limits: TeamLimits | None,
-    placer: Placer | None = None,
+    assignment: TeamAssignment | None = None,
 ) -> None:
     """Commit starts: the last word on the rules that bind job and team.
 
     Everything is checked before anything is changed, so a refusal leaves the view as it was.
     """
-    job = view.job(job_id)
+    job = transaction.job(job_id)
     if job is None or job.cancelled:
-        raise Refused("the job is not live")
+        raise PreconditionFailedError("the job is not live")
     spec = job.spec
-    released = _released(view, job)
+    released = _released(transaction, job)
     if spec.kind == GANG and (job.live or len(placements) != job.waiting):
-        raise Refused("a gang starts as a whole")
+        raise PreconditionFailedError("a gang starts as a whole")
     if any(p.task in job.live or p.task in job.done for p in placements):
-        raise Refused("a task is started or done")
+        raise PreconditionFailedError("a task is started or done")
     zones = [a.zone for a in job.live.values()] + [p.zone for p in placements]
     if not zones_allowed(spec, zones):
-        raise Refused("the zones are not allowed")
-    if not view.plain and not may_place(view.mirror, spec.team, placer):
-        raise Refused("another controller places the team")
-    if view.unsure.get(TEAM + spec.team) == view.mirror.version(TEAM + spec.team) > 0:
+        raise PreconditionFailedError("the zones are not allowed")
+    if not transaction.is_schema_v1 and not may_place(transaction.cache, spec.team, assignment):
+        raise PreconditionFailedError("another controller places the team")
+    if transaction.unsure.get(TEAM + spec.team) == transaction.cache.version(TEAM + spec.team) > 0:
         # Moving the record along with this start is not enough: the late one may arrive between
         # our reading and this.  Found by the search of the model (tests/membership).
-        raise Refused("a start that had no answer may still arrive")
-    if view.mirror.starts_barred(spec.team):
-        raise Refused("what the team holds cannot be told")
-    if not headroom(limits, view.held(spec.team)).covers(spec, len(placements)):
-        raise Refused("the team's limit")
-    if not view.plain:
-        view.guards[TEAM + spec.team] = view.mirror.version(TEAM + spec.team)
-    if job.awaits:
-        for name in job.awaits:
-            final = view.mirror.pipelines.settled(name)
+        raise PreconditionFailedError("a start that had no answer may still arrive")
+    if transaction.cache.starts_blocked(spec.team):
+        raise PreconditionFailedError("what the team holds cannot be told")
+    if not headroom(limits, transaction.held(spec.team)).covers(spec, len(placements)):
+        raise PreconditionFailedError("the team's limit")
+    if not transaction.is_schema_v1:
+        transaction.expected_versions[TEAM + spec.team] = transaction.cache.version(
+            TEAM + spec.team
+        )
+    if job.dependencies:
+        for name in job.dependencies:
+            final = transaction.cache.dependency_index.settled(name)
             if final is not None:
-                bind_final(view, name, final)
-        job.awaits, job.ready = (), released
+                bind_finished_job(transaction, name, final)
+        job.dependencies, job.ready = (), released
     for task, machine, zone, session in placements:
         job.live[task] = Attempt(machine, zone, session, job.next_attempt)
     job.next_attempt += 1
-    view.hold(job, len(placements))
+    transaction.change_usage(job, len(placements))
 
 
-def bind_final(view: View, job_id: str, final: Final) -> None:
+def bind_finished_job(transaction: Transaction, job_id: str, final: FinishedJob) -> None:
     """Rely on what a job came to; it never changes, but its record may move."""
     if final.version:
-        view.guards[(FINAL if final.filed else JOB) + job_id] = final.version
+        transaction.expected_versions[(FINAL if final.filed else JOB) + job_id] = final.version
 
 
-def file_final(view: View, job_id: str) -> bool:
+def archive_job(transaction: Transaction, job_id: str) -> bool:
     """Move what a job came to from the job's place to the finished ones."""
-    final = view.mirror.unfiled.get(job_id)
-    if final is None or view.plain:
+    final = transaction.cache.unarchived.get(job_id)
+    if final is None or transaction.is_schema_v1:
         return False
-    view.put(JOB + job_id, None, final.version)
-    view.put(FINAL + job_id, final_value(final, view.mirror.form), 0)
+    transaction.put(JOB + job_id, None, final.version)
+    transaction.put(FINAL + job_id, finished_job_value(final, transaction.cache.schema_version), 0)
     return True
 
 
-def _released(view: View, job: Job) -> float:
+def _released(transaction: Transaction, job: Job) -> float:
     """Since when all jobs that this one needs are done; refuses while that is not certain."""
-    pipelines = view.mirror.pipelines
-    if not job.awaits:
-        return pipelines.since(job)
-    for name in job.awaits:
-        final = pipelines.settled(name)
+    dependency_index = transaction.cache.dependency_index
+    if not job.dependencies:
+        return dependency_index.since(job)
+    for name in job.dependencies:
+        final = dependency_index.settled(name)
         if final is None or final.state != DONE:
-            raise Refused(f"{name} is not known to be done")
-    return pipelines.since(job)
+            raise PreconditionFailedError(f"{name} is not known to be done")
+    return dependency_index.since(job)
 
 
-def settle(view: View, job_id: str, most: int) -> bool:
+def settle(transaction: Transaction, job_id: str, most: int) -> bool:
     """Record of some named jobs that they are done, so that fewer conditions bind the start."""
-    job = view.job(job_id)
-    if job is None or job.cancelled or view.plain:
+    job = transaction.job(job_id)
+    if job is None or job.cancelled or transaction.is_schema_v1:
         return False
     done: list[str] = []
-    for name in job.awaits:
-        final = view.mirror.pipelines.settled(name)
+    for name in job.dependencies:
+        final = transaction.cache.dependency_index.settled(name)
         if final is not None and final.state == DONE and len(done) < most:
             done.append(name)
-            bind_final(view, name, final)
+            bind_finished_job(transaction, name, final)
     if done:
-        job.ready = view.mirror.pipelines.since(job)
-        job.awaits = tuple(name for name in job.awaits if name not in done)
+        job.ready = transaction.cache.dependency_index.since(job)
+        job.dependencies = tuple(name for name in job.dependencies if name not in done)
     return bool(done)
 
 
--- a/src/sandladder/membership/grading.py
+++ b/src/sandladder/membership/failure_detector.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from sandladder.membership.arrivals import Arrivals
+from sandladder.membership.phi_accrual import PhiAccrualWindow
 
 # At these levels a silence is odd, and is as good as none being left.
 _ODD_PHI, _SILENT_PHI = 2.0, 8.0
@@ -25,7 +25,7 @@
 _FEW_MACHINES = 3
 
 
-class Grade(enum.IntEnum):
+class HealthLevel(enum.IntEnum):
     """How a controller is doing, from best to worst."""
 
     LIVE = 0
@@ -37,12 +37,12 @@
     ENDED = 6  # its hold has ended: the one verdict, from the state service
 
 
-class Word(NamedTuple):
+class PeerStatus(NamedTuple):
     """What a controller says of itself and of the others in each beat."""
 
     term: int  # with which its process entered; 0 before that
     token: int  # its term now
-    state_ok: bool  # it reaches the state service and its hold lasts
+    store_reachable: bool  # it reaches the state service and its hold lasts
     late_s: float  # how late its own timers fire
     machines: int | None  # that report to it; None: it does not say
     leaving: bool
@@ -50,10 +50,10 @@
     heard: dict[str, tuple[float, bool]]
 
 
-class Finding(NamedTuple):
+class HealthAssessment(NamedTuple):
     """A grade with its evidence."""
 
-    grade: Grade
+    grade: HealthLevel
     why: str
     against: int = 0  # independent witnesses that do not see it
     refused: bool = False  # all who speak against it were refused the connection
@@ -62,15 +62,15 @@
     @property
     def able(self) -> bool:
         """Whether it can be given something to do."""
-        return self.grade <= Grade.SLOW
+        return self.grade <= HealthLevel.SLOW
 
 
 class _Peer:
     """What is kept of one other controller."""
 
-    def __init__(self, beat_s: float) -> None:
-        self.arrivals = Arrivals(beat_s)
-        self.word: Word | None = None
+    def __init__(self, heartbeat_interval_s: float) -> None:
+        self.arrivals = PhiAccrualWindow(heartbeat_interval_s)
+        self.word: PeerStatus | None = None
         self.refused = False
         self.written_at = -math.inf  # when we saw the last thing that it wrote
         self.held = False  # its hold lasts, as far as the records say
@@ -78,16 +78,25 @@
         self.known_at: float | None = None  # since when we could have heard it
 
 
-class Ears:
+class FailureDetector:
     """What one controller perceives of the others."""
 
     def __init__(
-        self, node: str, peers: Iterable[str], beat_s: float, report_s: float, summary_s: float
+        self,
+        node: str,
+        peers: Iterable[str],
+        heartbeat_interval_s: float,
+        report_s: float,
+        inventory_interval_s: float,
     ) -> None:
-        """All times in seconds; `beat_s` is the time between two signs of life at the most."""
+        """All times in seconds; `heartbeat_interval_s`: between two heartbeats at the most."""
         self.node = node
-        self.beat_s, self.report_s, self.summary_s = beat_s, report_s, summary_s
-        self._peers = {name: _Peer(beat_s) for name in peers}
+        self.heartbeat_interval_s, self.report_s, self.inventory_interval_s = (
+            heartbeat_interval_s,
+            report_s,
+            inventory_interval_s,
+        )
+        self._peers = {name: _Peer(heartbeat_interval_s) for name in peers}
         self.late_s = 0.0  # how late our own routines are woken, smoothed
         self._excused = -math.inf  # silence before this is ours
 
@@ -97,7 +106,7 @@
 
     # What is perceived
 
-    def beat(self, node: str, word: Word, now: float) -> None:
+    def heartbeat(self, node: str, word: PeerStatus, now: float) -> None:
         """A beat came."""
         peer = self._peers.get(node)
         if peer is not None:
@@ -135,7 +144,7 @@
         anew from here.  Seen in a measured day: one that had been frozen took all teams.
         """
         self.late_s += (late_s - self.late_s) * _FRESH_SHARE
-        if late_s > 2 * self.beat_s:
+        if late_s > 2 * self.heartbeat_interval_s:
             self._excused = now
             for peer in self._peers.values():
                 peer.arrivals.excuse(now)
@@ -145,18 +154,18 @@
     @property
     def late(self) -> bool:
         """Whether we are late ourselves, so that we accuse nobody."""
-        return self.late_s > _LATE * self.beat_s
+        return self.late_s > _LATE * self.heartbeat_interval_s
 
     @property
     def widen(self) -> float:
         """How much longer we allow others because we are late."""
-        return min(_WIDEST, 1 + self.late_s / self.beat_s)
+        return min(_WIDEST, 1 + self.late_s / self.heartbeat_interval_s)
 
     def collected(self, now: float) -> bool:
         """Whether we have heard the world for long enough to judge anyone."""
-        return now - self._excused > 2 * self.beat_s
+        return now - self._excused > 2 * self.heartbeat_interval_s
 
-    def word(self, node: str) -> Word | None:
+    def word(self, node: str) -> PeerStatus | None:
         """What a peer said last."""
         peer = self._peers.get(node)
         return peer.word if peer is not None else None
@@ -179,11 +188,11 @@
             and peer.arrivals.phi(now, self.widen) < _SILENT_PHI
         )
 
-    def judge(self, node: str, now: float) -> Finding:
+    def judge(self, node: str, now: float) -> HealthAssessment:
         """The grade of a peer on the evidence there is."""
         peer = self._peers[node]
         if not peer.held:
-            return Finding(Grade.ENDED, "it holds nothing in the state service")
+            return HealthAssessment(HealthLevel.ENDED, "it holds nothing in the state service")
         if self.hears(node, now):
             return self._judge_heard(peer, now)
         silent_s = now - max(peer.arrivals.at, peer.written_at)
@@ -195,35 +204,39 @@
             if name == node or word is None or not self.hears(name, now):
                 continue
             told = word.heard.get(node)
-            if told is None or word.late_s > _LATE * self.beat_s:
+            if told is None or word.late_s > _LATE * self.heartbeat_interval_s:
                 continue  # it does not say, or distrusts its own ears
             silence = told[0] + now - other.arrivals.at
-            if not told[1] and silence < 4 * self.beat_s:
-                return Finding(Grade.CUT, f"{name} hears it", silent_s=silence)
+            if not told[1] and silence < 4 * self.heartbeat_interval_s:
+                return HealthAssessment(HealthLevel.CUT, f"{name} hears it", silent_s=silence)
             silent_s = min(silent_s, silence)
             against.append(f"{name} {'was refused' if told[1] else f'not for {silence:.1f} s'}")
             refused = refused and told[1]
-        overdue = now - peer.written_at > _OVERDUE * self.summary_s
+        overdue = now - peer.written_at > _OVERDUE * self.inventory_interval_s
         # What was written before it fell silent and read just after says nothing.
-        if not overdue and peer.written_at > peer.arrivals.at + 2 * self.beat_s:
-            return Finding(Grade.CUT, "it writes to the state service", silent_s=silent_s)
+        if not overdue and peer.written_at > peer.arrivals.at + 2 * self.heartbeat_interval_s:
+            return HealthAssessment(
+                HealthLevel.CUT, "it writes to the state service", silent_s=silent_s
+            )
         if overdue:
             against.append("its summary is overdue")
         came = sum(now - at < self.report_s for at in peer.came_over)
         if came >= _FEW_MACHINES:
             against.append(f"{came} machines came over")
-        return Finding(Grade.SUSPECT, ", ".join(against), len(against), refused, silent_s)
+        return HealthAssessment(
+            HealthLevel.SUSPECT, ", ".join(against), len(against), refused, silent_s
+        )
 
-    def _judge_heard(self, peer: _Peer, now: float) -> Finding:
+    def _judge_heard(self, peer: _Peer, now: float) -> HealthAssessment:
         word, phi = peer.word, peer.arrivals.phi(now, self.widen)
         if word is None:
-            return Finding(Grade.SLOW, "nothing said yet")
+            return HealthAssessment(HealthLevel.SLOW, "nothing said yet")
         if word.leaving:
-            return Finding(Grade.LEFT, "it says that it goes")
-        if not word.state_ok:
-            return Finding(Grade.UNABLE, "it does not reach the state service")
-        if word.late_s > _LATE * self.beat_s:
-            return Finding(Grade.SLOW, f"its timers are {word.late_s:.2f} s late")
+            return HealthAssessment(HealthLevel.LEFT, "it says that it goes")
+        if not word.store_reachable:
+            return HealthAssessment(HealthLevel.UNABLE, "it does not reach the state service")
+        if word.late_s > _LATE * self.heartbeat_interval_s:
+            return HealthAssessment(HealthLevel.SLOW, f"its timers are {word.late_s:.2f} s late")
         if phi > _ODD_PHI:
-            return Finding(Grade.SLOW, f"its sign is late (phi {phi:.1f})")
-        return Finding(Grade.LIVE, "")
+            return HealthAssessment(HealthLevel.SLOW, f"its sign is late (phi {phi:.1f})")
+        return HealthAssessment(HealthLevel.LIVE, "")
--- a/src/sandladder/membership/arrivals.py
+++ b/src/sandladder/membership/phi_accrual.py
@@ -17,7 +17,7 @@
 MOST_PHI = 16.0
 
 
-class Arrivals:
+class PhiAccrualWindow:
     """The times between one peer's signs of life, on our steady clock."""
 
     def __init__(self, promised_s: float) -> None:
--- a/src/sandladder/membership/roster.py
+++ b/src/sandladder/membership/roster.py
@@ -15,11 +15,11 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-from sandladder.model.membership import IN, OUT, SUSPECT, Member, Placer
-from sandladder.state.cache import Mirror
-from sandladder.state.errors import Refused
-from sandladder.state.records import ROSTER, TEAM, placer_value
-from sandladder.state.transaction import View
+from sandladder.model.membership import IN, OUT, SUSPECT, Member, TeamAssignment
+from sandladder.state.cache import StateCache
+from sandladder.state.errors import PreconditionFailedError
+from sandladder.state.records import ROSTER, TEAM, assignment_value
+from sandladder.state.transaction import Transaction
 
 # A flap is forgotten after so many times the settling time without another.
 _FORGIVEN = 16
@@ -29,29 +29,29 @@
 Roster = Mapping[str, Member]
 
 
-class Records(NamedTuple):
+class RosterRecords(NamedTuple):
     """The roster, and the process that places each team."""
 
     roster: Roster
-    placers: Mapping[str, Placer]
+    assignments: Mapping[str, TeamAssignment]
 
     @staticmethod
-    def of(mirror: Mirror) -> "Records":
+    def of(cache: StateCache) -> "RosterRecords":
         """As a controller's copy holds them."""
-        return Records(mirror.roster, mirror.placers)
+        return RosterRecords(cache.roster, cache.assignments)
 
 
-class Move(NamedTuple):
+class RosterTransition(NamedTuple):
     """A change of these records."""
 
     roster: Roster | None = None  # None: as it stands, and the change rests on that
-    placers: Mapping[str, Placer] = {}
+    assignments: Mapping[str, TeamAssignment] = {}
 
     def __bool__(self) -> bool:
-        return self.roster is not None or bool(self.placers)
+        return self.roster is not None or bool(self.assignments)
 
 
-_NOTHING = Move()
+_NOTHING = RosterTransition()
 
 
 def settle_s(member: Member, least_s: float) -> float:
@@ -77,37 +77,39 @@
     return min(able, key=lambda n: (loads.get(n, 0), _lot(team, n)), default=None)
 
 
-def placed(records: Records) -> Counter[str]:
+def placed(records: RosterRecords) -> Counter[str]:
     """How many teams each member places."""
     roster = records.roster
     return Counter(
-        placer.node
-        for placer in records.placers.values()
-        if placer.node in roster and roster[placer.node].state != OUT
+        assignment.node
+        for assignment in records.assignments.values()
+        if assignment.node in roster and roster[assignment.node].state != OUT
     )
 
 
-def rightful(team: str, home: str, records: Records) -> str | None:
+def rightful(team: str, home: str, records: RosterRecords) -> str | None:
     """The member whose team this is by the records, None when nobody is in.
 
     The one that the team's record names, in whichever process it lives now, unless it is out;
     at first the one that is its home.
     """
-    placer = records.placers.get(team)
-    node = home if placer is None else placer.node
+    assignment = records.assignments.get(team)
+    node = home if assignment is None else assignment.node
     member = records.roster.get(node)
     if member is not None and member.state != OUT:
         return node
     return successor(team, records.roster, placed(records))
 
 
-def enter(records: Records, node: str, term: int, wall: float, teams: Iterable[str]) -> Move:
+def enter(
+    records: RosterRecords, node: str, term: int, wall: float, teams: Iterable[str]
+) -> RosterTransition:
     """A controller takes part, again perhaps; what is its own goes to its new process with that."""
     known = records.roster.get(node)
     if known is not None and known.state == IN and known.term == term:
         return _NOTHING
     if known is not None and known.term > term:
-        raise Refused("a later process runs under this name")
+        raise PreconditionFailedError("a later process runs under this name")
     flaps, refuted, since = 0, 0, wall
     if known is not None:
         flaps = known.flaps
@@ -115,50 +117,54 @@
             refuted = known.refuted + 1
         if known.state != OUT:
             since = known.since  # it was never given up: nothing of it moved
-    placer = Placer(node, term)
-    own = {team: placer for team in teams if _names(records, team, node)}
-    return Move({**records.roster, node: Member(term, refuted, IN, since, flaps, "")}, own)
+    assignment = TeamAssignment(node, term)
+    own = {team: assignment for team in teams if _names(records, team, node)}
+    return RosterTransition(
+        {**records.roster, node: Member(term, refuted, IN, since, flaps, "")}, own
+    )
 
 
-def _names(records: Records, team: str, node: str) -> bool:
-    placer = records.placers.get(team)
-    return placer is not None and placer.node == node
+def _names(records: RosterRecords, team: str, node: str) -> bool:
+    assignment = records.assignments.get(team)
+    return assignment is not None and assignment.node == node
 
 
-def _seen(records: Records, node: str, seen: Member) -> Member:
+def _seen(records: RosterRecords, node: str, seen: Member) -> Member:
     """The member as the writer saw it when it decided; anything newer refutes that."""
     known = records.roster.get(node)
     if known is None or known[:3] != seen[:3]:
-        raise Refused("it has shown itself since")
+        raise PreconditionFailedError("it has shown itself since")
     return known
 
 
-def accuse(records: Records, node: str, seen: Member, why: str) -> Move:
+def accuse(records: RosterRecords, node: str, seen: Member, why: str) -> RosterTransition:
     """Put a member under suspicion: it has a moment to refute that, and nothing moves yet."""
     known = _seen(records, node, seen)
     if known.state != IN:
         return _NOTHING
-    return Move({**records.roster, node: known._replace(state=SUSPECT, why=why)})
+    return RosterTransition({**records.roster, node: known._replace(state=SUSPECT, why=why)})
 
 
-def refute(records: Records, node: str, term: int) -> Move:
+def refute(records: RosterRecords, node: str, term: int) -> RosterTransition:
     """A suspected member that lives says so, with a higher incarnation."""
     known = records.roster.get(node)
     if known is None or known.state != SUSPECT or known.term != term:
         return _NOTHING
     well = known._replace(state=IN, refuted=known.refuted + 1, why="")
-    return Move({**records.roster, node: well})
+    return RosterTransition({**records.roster, node: well})
 
 
-def acquit(records: Records, node: str, seen: Member) -> Move:
+def acquit(records: RosterRecords, node: str, seen: Member) -> RosterTransition:
     """Whoever hears a suspected member again takes the suspicion back."""
     known = _seen(records, node, seen)
     if known.state != SUSPECT:
         return _NOTHING
-    return Move({**records.roster, node: known._replace(state=IN, why="")})
+    return RosterTransition({**records.roster, node: known._replace(state=IN, why="")})
 
 
-def expel(records: Records, node: str, seen: Member, why: str, wall: float, least_s: float) -> Move:
+def expel(
+    records: RosterRecords, node: str, seen: Member, why: str, wall: float, least_s: float
+) -> RosterTransition:
     """Give a member up and hand its teams to their successors.
 
     Only one that is under suspicion still, or whose hold has ended: the caller saw to that, and
@@ -170,17 +176,17 @@
     calm = wall - known.since > _FORGIVEN * settle_s(known, least_s)
     flaps = 1 if calm else known.flaps + 1
     out = known._replace(state=OUT, since=wall, flaps=flaps, why=why)
-    after = Records({**records.roster, node: out}, records.placers)
+    after = RosterRecords({**records.roster, node: out}, records.assignments)
     loads, moved = placed(after), {}
-    for team in sorted(records.placers):
+    for team in sorted(records.assignments):
         heir = successor(team, after.roster, loads) if _names(records, team, node) else None
         if heir is not None:
             loads[heir] += 1
-            moved[team] = Placer(heir, after.roster[heir].term)
-    return Move(after.roster, moved)
+            moved[team] = TeamAssignment(heir, after.roster[heir].term)
+    return RosterTransition(after.roster, moved)
 
 
-def leave(records: Records, node: str, term: int, wall: float) -> Move:
+def leave(records: RosterRecords, node: str, term: int, wall: float) -> RosterTransition:
     """A controller that goes hands over what it has itself; that is no flap."""
     known = records.roster.get(node)
     if known is None or known.term != term or known.state == OUT:
@@ -191,29 +197,31 @@
     return move._replace(roster={**move.roster, node: gone})
 
 
-def take(records: Records, team: str, home: str, placer: Placer) -> Move:
+def take(
+    records: RosterRecords, team: str, home: str, assignment: TeamAssignment
+) -> RosterTransition:
     """A member takes a team that is its own by the records, and nobody else's."""
-    if records.placers.get(team) == placer:
+    if records.assignments.get(team) == assignment:
         return _NOTHING
-    member = records.roster.get(placer.node)
-    if member is None or member.state != IN or member.term != placer.term:
-        raise Refused("not a member")
-    if rightful(team, home, records) != placer.node:
-        raise Refused("another controller's team")
-    return Move(placers={team: placer})
+    member = records.roster.get(assignment.node)
+    if member is None or member.state != IN or member.term != assignment.term:
+        raise PreconditionFailedError("not a member")
+    if rightful(team, home, records) != assignment.node:
+        raise PreconditionFailedError("another controller's team")
+    return RosterTransition(assignments={team: assignment})
 
 
-def give(records: Records, team: str, node: str, seen: Placer) -> Move:
+def give(records: RosterRecords, team: str, node: str, seen: TeamAssignment) -> RosterTransition:
     """Hand a team to another member that is well, as one that returns."""
     member = records.roster.get(node)
     if member is None or member.state != IN:
-        raise Refused("it is not in")
-    if records.placers.get(team) != seen:
-        raise Refused("the team has moved since")
-    return Move(placers={team: Placer(node, member.term)})
+        raise PreconditionFailedError("it is not in")
+    if records.assignments.get(team) != seen:
+        raise PreconditionFailedError("the team has moved since")
+    return RosterTransition(assignments={team: TeamAssignment(node, member.term)})
 
 
-def write(view: View, move: Move, most: int) -> bool:
+def write(transaction: Transaction, move: RosterTransition, most: int) -> bool:
     """Put a move into a transaction of at most so many changes; False if there is none.
 
     It rests on the roster and on the records of the teams that it moves.  Teams past `most` are
@@ -221,29 +229,29 @@
     """
     if not move:
         return False
-    mirror = view.mirror
-    if ROSTER in view.others:
+    cache = transaction.cache
+    if ROSTER in transaction.others:
         # What was decided on the roster as it is does not hold on what it will be.
-        raise Refused("another change of the roster goes along")
-    view.guards[ROSTER] = mirror.version(ROSTER)
+        raise PreconditionFailedError("another change of the roster goes along")
+    transaction.expected_versions[ROSTER] = cache.version(ROSTER)
     if move.roster is not None:
         value = {node: list(member) for node, member in sorted(move.roster.items())}
-        view.put(ROSTER, value, mirror.version(ROSTER))
-    for team, placer in move.placers.items():
-        if view.size >= most:
+        transaction.put(ROSTER, value, cache.version(ROSTER))
+    for team, assignment in move.assignments.items():
+        if transaction.size >= most:
             break
-        view.put(TEAM + team, placer_value(placer), mirror.version(TEAM + team))
+        transaction.put(TEAM + team, assignment_value(assignment), cache.version(TEAM + team))
     return True
 
 
-def may_place(mirror: Mirror, team: str, placer: Placer | None) -> bool:
+def may_place(cache: StateCache, team: str, assignment: TeamAssignment | None) -> bool:
     """Whether starts of this team are surely this controller's to commit.
 
     Its record must name this very process, and our copy must hold all that was committed
     before it did: then what the live jobs hold is no less than what they hold in truth.
     """
     return (
-        placer is not None
-        and mirror.placers.get(team) == placer
-        and mirror.revision >= mirror.version(TEAM + team) > 0
+        assignment is not None
+        and cache.assignments.get(team) == assignment
+        and cache.revision >= cache.version(TEAM + team) > 0
     )
--- a/src/sandladder/membership/spread.py
+++ b/src/sandladder/membership/worker_assignment.py
@@ -23,7 +23,7 @@
 _MOVED = 0.1
 
 
-class Load(NamedTuple):
+class WorkerLoad(NamedTuple):
     """A controller that can take machines."""
 
     zone: str
@@ -35,7 +35,7 @@
     return hashlib.blake2b(f"{machine} {node}".encode(), digest_size=8).digest()
 
 
-class Spread:
+class WorkerAssignment:
     """One controller's part in sharing the machines out."""
 
     def __init__(self, node: str, report_s: float, lease_s: float) -> None:
@@ -54,7 +54,7 @@
         token: int,
         ours: bool,
         quiet_s: float | None,
-        loads: Mapping[str, Load],
+        loads: Mapping[str, WorkerLoad],
         now: float,
         calm: bool,
     ) -> str | None:
--- a/src/sandladder/model/agents.py
+++ b/src/sandladder/model/agents.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 
-class Entry(NamedTuple):
+class ReportedTask(NamedTuple):
     """A task as a machine reports it."""
 
     job: str
@@ -14,7 +14,7 @@
     saved: bool
 
 
-class Report(NamedTuple):
+class AgentHeartbeat(NamedTuple):
     """A worker's report."""
 
     machine: str
@@ -26,7 +26,7 @@
     seq: int
     token: int
     notice_s: float | None
-    entries: tuple[Entry, ...]
+    entries: tuple[ReportedTask, ...]
 
 
 class Command(NamedTuple):
@@ -39,7 +39,7 @@
     grace_s: float = 0.0
 
 
-class Stamp(NamedTuple):
+class ClockReading(NamedTuple):
     """A moment on the steady clock of one process."""
 
     process: int
--- a/src/sandladder/model/dependencies.py
+++ b/src/sandladder/model/dependencies.py
@@ -10,10 +10,10 @@
 from collections.abc import Callable, Iterable, Iterator
 from typing import NamedTuple
 
-from sandladder.model.jobs import CANCELLED, Final, Job, JobSpec
+from sandladder.model.jobs import CANCELLED, FinishedJob, Job, JobSpec
 
 
-class Fate(enum.Enum):
+class DependencyOutcome(enum.Enum):
     """What the jobs that a live job names mean for it."""
 
     READY = "ready"  # all of them are done
@@ -22,7 +22,7 @@
     UNKNOWN = "unknown"  # none is live, and what became of some must be read first
 
 
-class Outlook(NamedTuple):
+class SchedulingPriority(NamedTuple):
     """How urgent a job is, with all that need it: priority, and when it is due."""
 
     priority: int
@@ -32,23 +32,23 @@
 _NEVER = float("inf")
 
 
-class Pipelines:
+class DependencyIndex:
     """An index over the live jobs, kept up by the mirror."""
 
     def __init__(self, jobs: dict[str, Job]) -> None:
         self._jobs = jobs  # the live jobs
         self._needed_by: dict[str, dict[str, None]] = {}  # by the job named, those that name it
         self._awaits: dict[str, tuple[str, ...]] = {}
-        self._settled: dict[str, Final] = {}  # only of jobs that live ones name
+        self._settled: dict[str, FinishedJob] = {}  # only of jobs that live ones name
         self._doomed: dict[str, None] = {}
-        self._outlooks: dict[str, Outlook] = {}
+        self._outlooks: dict[str, SchedulingPriority] = {}
 
     # Changes
 
     def changed(self, job_id: str, old: Job | None, new: Job | None) -> None:
         """A live job came, changed or went."""
         before = self._awaits.get(job_id, ())
-        after = new.awaits if new is not None else ()
+        after = new.dependencies if new is not None else ()
         if before != after:
             self._name(job_id, before, after)
         if before != after or (old is None) != (new is None):
@@ -63,7 +63,7 @@
             self._outlooks.clear()
             self._doom_needers(job_id)
 
-    def settle(self, job_id: str, final: Final) -> bool:
+    def settle(self, job_id: str, final: FinishedJob) -> bool:
         """A job is over; whether a live one names it."""
         if job_id not in self._needed_by:
             return False
@@ -111,21 +111,25 @@
 
     # Questions
 
-    def fate(self, job: Job) -> Fate:
+    def fate(self, job: Job) -> DependencyOutcome:
         """What the jobs that it names mean for a live job."""
-        if not job.awaits:
-            return Fate.READY
+        if not job.dependencies:
+            return DependencyOutcome.READY
         if job.id in self._doomed:
-            return Fate.DOOMED
-        names = [name for name in job.awaits if name not in self._settled]
+            return DependencyOutcome.DOOMED
+        names = [name for name in job.dependencies if name not in self._settled]
         if not names:
-            return Fate.READY
-        return Fate.WAITS if any(name in self._jobs for name in names) else Fate.UNKNOWN
+            return DependencyOutcome.READY
+        return (
+            DependencyOutcome.WAITS
+            if any(name in self._jobs for name in names)
+            else DependencyOutcome.UNKNOWN
+        )
 
     def ready(self, job: Job) -> bool:
-        return not job.awaits or self.fate(job) is Fate.READY
+        return not job.dependencies or self.fate(job) is DependencyOutcome.READY
 
-    def settled(self, name: str) -> Final | None:
+    def settled(self, name: str) -> FinishedJob | None:
         """What a named job came to, if that is known."""
         return self._settled.get(name)
 
@@ -145,12 +149,12 @@
     def uncertain(self, job: Job) -> list[str]:
         """Jobs of which it must be read what they came to, before this one's fate is certain."""
         found: dict[str, None] = {}
-        stack, seen = list(job.awaits), set(job.awaits)
+        stack, seen = list(job.dependencies), set(job.dependencies)
         while stack:
             name = stack.pop()
             live = self._jobs.get(name)
             if live is not None:
-                more = [n for n in live.awaits if n not in seen]
+                more = [n for n in live.dependencies if n not in seen]
                 seen.update(more)
                 stack += more
             elif name not in self._settled:
@@ -167,11 +171,11 @@
     def since(self, job: Job) -> float:
         """From when a ready job's times count: when the last job that it needs was done."""
         times = [job.submitted, job.ready or 0.0]
-        finals = (self._settled.get(name) for name in job.awaits)
-        times += [final.at for final in finals if final is not None and final.at is not None]
+        finished_jobs = (self._settled.get(name) for name in job.dependencies)
+        times += [final.at for final in finished_jobs if final is not None and final.at is not None]
         return max(times)
 
-    def outlook(self, job: Job, stage_s: Callable[[JobSpec], float]) -> Outlook:
+    def outlook(self, job: Job, stage_s: Callable[[JobSpec], float]) -> SchedulingPriority:
         """The highest priority and the earliest time due among a job and all that need it.
 
         What follows needs its own time, so a job is due that much before those that need it.
@@ -203,6 +207,6 @@
                     continue  # a circle of names, which no accepted jobs can form
                 priority = max(priority, after.priority)
                 due = min(due, after.due - stage_s(needer.spec))
-            known[name] = Outlook(priority, due)
+            known[name] = SchedulingPriority(priority, due)
             stack.pop()
-        return known.get(job.id) or Outlook(job.spec.priority, _NEVER)
+        return known.get(job.id) or SchedulingPriority(job.spec.priority, _NEVER)
--- a/src/sandladder/model/jobs.py
+++ b/src/sandladder/model/jobs.py
@@ -106,7 +106,7 @@
         "live",
         "cancelled",
         "errors",
-        "awaits",
+        "dependencies",
         "ready",
     )
 
@@ -114,14 +114,14 @@
         self,
         spec: JobSpec,
         submitted: float,
-        awaits: tuple[str, ...] = (),
+        dependencies: tuple[str, ...] = (),
         ready: float | None = None,
     ) -> None:
         self.spec = spec
         self.submitted = submitted  # time of day
         # Jobs that must be done before any task starts, as far as that is not recorded here
         # yet; and the time of day at which the last of those recorded was done.
-        self.awaits = awaits
+        self.dependencies = dependencies
         self.ready = ready
         self.next_attempt = 1
         self.done = Ranges()
@@ -161,7 +161,7 @@
         return RUNNING if self.live else PENDING
 
     def copy(self) -> "Job":
-        twin = Job(self.spec, self.submitted, self.awaits, self.ready)
+        twin = Job(self.spec, self.submitted, self.dependencies, self.ready)
         twin.next_attempt = self.next_attempt
         twin.done = Ranges(self.done.flat())
         twin.live = dict(self.live)
@@ -170,7 +170,7 @@
         return twin
 
 
-class Final(NamedTuple):
+class FinishedJob(NamedTuple):
     """What is kept of a job that is over."""
 
     state: str
@@ -180,7 +180,7 @@
     filed: bool = True  # that record is among the finished jobs, not among the live ones still
 
 
-class Ended(NamedTuple):
+class EndedAttempt(NamedTuple):
     """An attempt whose end is proved, and how it ended."""
 
     job: str
--- a/src/sandladder/model/machines.py
+++ b/src/sandladder/model/machines.py
@@ -54,7 +54,7 @@
     since: float  # time of day at which it came into this state
 
 
-class Seen(NamedTuple):
+class MachineStatus(NamedTuple):
     """One machine in a controller's room summary."""
 
     type: str
@@ -67,12 +67,12 @@
     images: tuple[str, ...] = ()  # the most recent last
 
 
-class Summary(NamedTuple):
+class MachineInventory(NamedTuple):
     """A controller's room summary; its keys are attached to the controller's hold."""
 
     term: int
     up_s: float
     revision: int  # what its writer had seen of the store
-    machines: dict[str, Seen] = {}
-    form: int = 1  # the newest form of records that its writer understands
+    machines: dict[str, MachineStatus] = {}
+    schema_version: int = 1  # the newest form of records that its writer understands
     process: int = 0  # tells the processes of one controller apart
--- a/src/sandladder/model/membership.py
+++ b/src/sandladder/model/membership.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 
-class Placer(NamedTuple):
+class TeamAssignment(NamedTuple):
     """The controller that places a team's jobs, and the term with which its process began."""
 
     node: str
--- a/src/sandladder/protocol/wire.py
+++ b/src/sandladder/protocol/wire.py
@@ -11,7 +11,7 @@
 
 import cbor2
 
-from sandladder.model.agents import Command, Entry, Report
+from sandladder.model.agents import AgentHeartbeat, Command, ReportedTask
 from sandladder.model.jobs import CANCELLED, DONE, GANG, PENDING, RUNNING, JobSpec
 from sandladder.model.machines import ListedMachine, MachineType
 
@@ -53,7 +53,7 @@
 _JOB_ID = re.compile(r"job-[0-9]{6,18}", re.ASCII)
 
 
-class Malformed(ValueError):
+class MalformedMessageError(ValueError):
     """A body or a field that the protocol does not allow."""
 
 
@@ -67,14 +67,14 @@
     try:
         return cbor2.loads(body)
     except Exception as error:  # the decoder raises many kinds on hostile input
-        raise Malformed("not CBOR") from error
+        raise MalformedMessageError("not CBOR") from error
 
 
 def loads_map(body: bytes) -> dict[Any, Any]:
     """Decode a body that must be a map."""
     value = loads(body)
     if not isinstance(value, dict):
-        raise Malformed("not a map")
+        raise MalformedMessageError("not a map")
     return value
 
 
@@ -86,41 +86,41 @@
 def _text(raw: dict[Any, Any], key: str) -> str:
     value = raw.get(key)
     if not isinstance(value, str) or not 0 < len(value) <= TEXT_LIMIT or not value.isprintable():
-        raise Malformed(f"{key}: a text is needed")
+        raise MalformedMessageError(f"{key}: a text is needed")
     return value
 
 
 def _number(raw: dict[Any, Any], key: str, least: float = 0.0) -> float:
     value = raw.get(key)
     if isinstance(value, bool) or not isinstance(value, (int, float)):
-        raise Malformed(f"{key}: a number is needed")
+        raise MalformedMessageError(f"{key}: a number is needed")
     try:
         number = float(value)
     except OverflowError:
-        raise Malformed(f"{key}: too large") from None
+        raise MalformedMessageError(f"{key}: too large") from None
     if not isfinite(number) or number < least or number > 1e12:
-        raise Malformed(f"{key}: out of range")
+        raise MalformedMessageError(f"{key}: out of range")
     return number
 
 
 def _count(raw: dict[Any, Any], key: str, most: int = COUNT_LIMIT - 1, least: int = 0) -> int:
     value = raw.get(key)
     if isinstance(value, bool) or not isinstance(value, int) or not least <= value <= most:
-        raise Malformed(f"{key}: a count is needed")
+        raise MalformedMessageError(f"{key}: a count is needed")
     return value
 
 
 def _flag(raw: dict[Any, Any], key: str) -> bool:
     value = raw.get(key)
     if not isinstance(value, bool):
-        raise Malformed(f"{key}: true or false is needed")
+        raise MalformedMessageError(f"{key}: true or false is needed")
     return value
 
 
 def _word(raw: dict[Any, Any], key: str, words: dict[str, Any]) -> Any:
     value = raw.get(key)
     if not isinstance(value, str) or value not in words:
-        raise Malformed(f"{key}: not a known word")
+        raise MalformedMessageError(f"{key}: not a known word")
     return words[value]
 
 
@@ -128,7 +128,7 @@
     """What a user asks for: a job, and the jobs that must be done before it starts."""
 
     spec: JobSpec
-    awaits: tuple[str, ...] = ()
+    dependencies: tuple[str, ...] = ()
 
 
 def _awaits(raw: dict[Any, Any]) -> tuple[str, ...]:
@@ -137,12 +137,12 @@
     if names is None:
         return ()
     if not isinstance(names, list):
-        raise Malformed("awaits: a list is needed")
+        raise MalformedMessageError("awaits: a list is needed")
     if len(names) > AWAITS_LIMIT:
-        raise Malformed(f"awaits: more than {AWAITS_LIMIT} jobs")
+        raise MalformedMessageError(f"awaits: more than {AWAITS_LIMIT} jobs")
     for name in names:
         if not isinstance(name, str) or not is_job_id(name):
-            raise Malformed("awaits: job ids are needed")
+            raise MalformedMessageError("awaits: job ids are needed")
     return tuple(dict.fromkeys(names))
 
 
@@ -150,15 +150,15 @@
     """A submission; raises Malformed for anything that deserves a 400."""
     raw = loads_map(body)
     if not is_job_id(_text(raw, "id")):
-        raise Malformed("id: not a job id")
+        raise MalformedMessageError("id: not a job id")
     types = raw.get("breeds")
     if types is not None:
         if not isinstance(types, list) or len(types) > TEXT_LIMIT:
-            raise Malformed("breeds: a list is needed")
+            raise MalformedMessageError("breeds: a list is needed")
         types = tuple(_text({"breeds": item}, "breeds") for item in types)
     cpus = _number(raw, "vcpus")
     if cpus <= 0:
-        raise Malformed("vcpus: must be above 0")
+        raise MalformedMessageError("vcpus: must be above 0")
     spec = JobSpec(
         id=raw["id"],
         cls=_text(raw, "docket"),
@@ -188,7 +188,7 @@
     """Whether a submission names jobs that it waits for."""
     try:
         return bool(loads_map(body).get("awaits"))
-    except Malformed:
+    except MalformedMessageError:
         return False
 
 
@@ -196,7 +196,7 @@
     """The job id in a submission that is otherwise malformed, if there is one."""
     try:
         job_id = loads_map(body).get("id")
-    except Malformed:
+    except MalformedMessageError:
         return None
     return job_id if isinstance(job_id, str) and is_job_id(job_id) else None
 
@@ -218,31 +218,31 @@
     return f"{job}/{task}"
 
 
-def _entry(raw: Any) -> Entry:
+def _entry(raw: Any) -> ReportedTask:
     if not isinstance(raw, dict):
-        raise Malformed("entries: maps are needed")
+        raise MalformedMessageError("entries: maps are needed")
     job, _, task = _text(raw, "entry").partition("/")
     if not is_job_id(job) or not task.isascii() or not task.isdigit() or len(task) > 6:
-        raise Malformed("entry: not a task")
+        raise MalformedMessageError("entry: not a task")
     state = raw.get("standing")
     if state not in _STATES:
-        raise Malformed("standing: not a known word")
+        raise MalformedMessageError("standing: not a known word")
     cause = ""
     if state == "exited":
         cause = _CAUSES.get(str(raw.get("cause")), "error")
-    return Entry(job, int(task), _count(raw, "try"), state, cause, raw.get("saved") is True)
+    return ReportedTask(job, int(task), _count(raw, "try"), state, cause, raw.get("saved") is True)
 
 
-def parse_report(raw: Any) -> Report:
+def parse_report(raw: Any) -> AgentHeartbeat:
     """A worker's report, from its own request or from the answer to a command."""
     if not isinstance(raw, dict):
-        raise Malformed("not a map")
+        raise MalformedMessageError("not a map")
     entries = raw.get("entries")
     if entries is None:
         entries = []
     if not isinstance(entries, list):
-        raise Malformed("entries: a list is needed")
-    return Report(
+        raise MalformedMessageError("entries: a list is needed")
+    return AgentHeartbeat(
         machine=_text(raw, "rung"),
         addr=_text(raw, "addr"),
         type=_text(raw, "breed"),
@@ -280,14 +280,14 @@
     """The cloud's machine types by name."""
     types = loads_map(body).get("breeds")
     if not isinstance(types, list) or not types:
-        raise Malformed("breeds: a list is needed")
+        raise MalformedMessageError("breeds: a list is needed")
     found = {}
     for raw in types:
         if not isinstance(raw, dict):
-            raise Malformed("breeds: maps are needed")
+            raise MalformedMessageError("breeds: maps are needed")
         zones = raw.get("districts")
         if not isinstance(zones, list):
-            raise Malformed("districts: a list is needed")
+            raise MalformedMessageError("districts: a list is needed")
         spot_price = raw.get("market_price")
         kind = MachineType(
             name=_text(raw, "label"),
@@ -320,7 +320,7 @@
     """The names of the machines that a rental request brought."""
     names = loads_map(body).get("rungs")
     if not isinstance(names, list) or not all(isinstance(n, str) and n for n in names):
-        raise Malformed("rungs: names are needed")
+        raise MalformedMessageError("rungs: names are needed")
     return names
 
 
@@ -329,7 +329,7 @@
     raw = loads_map(body)
     items = raw.get("rungs")
     if not isinstance(items, list):
-        raise Malformed("rungs: a list is needed")
+        raise MalformedMessageError("rungs: a list is needed")
     page = [
         ListedMachine(
             id=_text(item, "id"),
@@ -350,7 +350,7 @@
 
 
 def commit_body(
-    guards: Iterable[tuple[str, int]],
+    expected_versions: Iterable[tuple[str, int]],
     puts: Iterable[tuple[str, Any, int | None]],
     drops: Iterable[str],
 ) -> bytes:
@@ -361,7 +361,9 @@
             change["tenure"] = lease
         apply.append(change)
     apply.extend({"drop": key} for key in drops)
-    return dumps({"guards": [{"key": k, "edition": v} for k, v in guards], "apply": apply})
+    return dumps(
+        {"guards": [{"key": k, "edition": v} for k, v in expected_versions], "apply": apply}
+    )
 
 
 def parse_revision(body: bytes) -> int:
@@ -395,11 +397,11 @@
     raw = loads_map(body)
     log = raw.get("log") or []
     if not isinstance(log, list):
-        raise Malformed("log: a list is needed")
+        raise MalformedMessageError("log: a list is needed")
     events: list[tuple[str, Any, int]] = []
     for item in log:
         if not isinstance(item, dict):
-            raise Malformed("log: maps are needed")
+            raise MalformedMessageError("log: maps are needed")
         if "put" in item:
             events.append((_key(item, "put"), item.get("v"), _count(item, "edition")))
         else:
@@ -410,7 +412,7 @@
 def _key(raw: dict[Any, Any], name: str) -> str:
     value = raw.get(name)
     if not isinstance(value, str):
-        raise Malformed(f"{name}: a key is needed")
+        raise MalformedMessageError(f"{name}: a key is needed")
     return value
 
 
@@ -419,7 +421,7 @@
     raw = loads_map(body)
     items = raw.get("items")
     if not isinstance(items, list):
-        raise Malformed("items: a list is needed")
+        raise MalformedMessageError("items: a list is needed")
     found = [(_key(item, "key"), item.get("v"), _count(item, "edition")) for item in items]
     return _count(raw, "ledger"), found, raw.get("more") is True
 
--- a/src/sandladder/scheduling/bin_packing.py
+++ b/src/sandladder/scheduling/bin_packing.py
@@ -100,7 +100,7 @@
     spec: JobSpec,
     count: int,
     bins: list[Bin],
-    patient: bool = False,
+    can_wait_for_boot: bool = False,
     zones: ZoneShares | None = None,
     keep_gpus: bool = False,
 ) -> int:
@@ -121,7 +121,7 @@
         suited = suits.get(found.offer)
         if suited is None:
             suited = allowed(spec, Machine(*found.offer, "up", 0.0))
-            suited = suits[found.offer] = suited and (found.offer[2] or not patient)
+            suited = suits[found.offer] = suited and (found.offer[2] or not can_wait_for_boot)
         if suited:
             zone = found.offer[1]
             most = left if zones is None else min(left, zones.left(zone))
--- a/src/sandladder/scheduling/cluster_view.py
+++ b/src/sandladder/scheduling/cluster_view.py
@@ -10,15 +10,24 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from sandladder.agents.lease_expiry import LossProof
-from sandladder.agents.reconciler import Delivery, Dialogue
+from sandladder.agents.lease_expiry import LeaseExpiryProof
+from sandladder.agents.reconciler import AgentSession, Reconciler
 from sandladder.config.settings import Settings
-from sandladder.model.dependencies import Outlook
-from sandladder.model.jobs import ARRAY, SERVICE, Attempt, Ended, Final, Job, JobSpec, Placement
-from sandladder.model.machines import Machine, MachineType, Seen, Summary
+from sandladder.model.dependencies import SchedulingPriority
+from sandladder.model.jobs import (
+    ARRAY,
+    SERVICE,
+    Attempt,
+    EndedAttempt,
+    FinishedJob,
+    Job,
+    JobSpec,
+    Placement,
+)
+from sandladder.model.machines import Machine, MachineInventory, MachineStatus, MachineType
 from sandladder.model.quota import Headroom, TeamUsage, headroom, within_guarantee
-from sandladder.scheduling.premises import Gate, Resource, Room
-from sandladder.state.cache import Mirror
+from sandladder.scheduling.premises import FreeCapacity, Gate, Resource
+from sandladder.state.cache import StateCache
 from sandladder.state.records import JOB, TEAM
 
 # A machine on which so many different jobs failed in a row is not trusted with more.  One
@@ -36,21 +45,21 @@
     """By when a job must start, and what that was worked out from."""
 
     job: Job
-    outlook: Outlook
+    outlook: SchedulingPriority
     types: dict[str, MachineType]
     latest: float
     patient_until: float  # up to when it has time to wait for the cheaper kind of machine
 
 
-class Sight(NamedTuple):
+class MachineObservation(NamedTuple):
     """The best word on a machine: what it is, who says so, and as of when."""
 
-    seen: Seen
-    clerk: str
+    seen: MachineStatus
+    reporting_controller: str
     at: float
 
 
-class Images:
+class ImageCacheIndex:
     """Which images a machine has, from the starts that the records show."""
 
     def __init__(self) -> None:
@@ -85,19 +94,24 @@
             del self._held[key]
 
 
-class Picture:
+class ClusterView:
     """The current picture; evidence for the gate and ground for planning."""
 
     def __init__(
-        self, settings: Settings, mirror: Mirror, delivery: Delivery, loss: LossProof, gate: Gate
+        self,
+        settings: Settings,
+        cache: StateCache,
+        reconciler: Reconciler,
+        loss: LeaseExpiryProof,
+        gate: Gate,
     ) -> None:
         self.settings = settings
-        self.mirror = mirror
-        self.delivery = delivery
-        self.loss = loss
+        self.cache = cache
+        self.reconciler = reconciler
+        self.lease_expiry = loss
         self.gate = gate
         gate.on_move = self._moved
-        self.images = Images()
+        self.images = ImageCacheIndex()
         self.now = 0.0
         self.ahead = 0.0  # how far the time of day is ahead of the steady clock
         # By image, the machines that had it or fetched it at some time; more than have it now.
@@ -108,62 +122,62 @@
         self._waits = settings.waits
         self._urgencies: dict[str, _Urgency] = {}
         self._touched: dict[str, int] = {}
-        self._sights: dict[str, Sight] = {}
+        self._observations: dict[str, MachineObservation] = {}
         self._doubts: dict[str, float] = {}  # machines that refused a start, and until when
         # Controllers that cannot have a start sent now: what reports to them is not given any.
-        self._doubted_clerks: frozenset[str] = frozenset()
-        self._told: dict[str, Summary] = {}  # the summaries that were taken in
+        self._doubted_controllers: frozenset[str] = frozenset()
+        self._told: dict[str, MachineInventory] = {}  # the summaries that were taken in
         # What is left on machines, worked out again only where something changed.
         self._left: dict[str, tuple[float, float, float]] = {}
         self._services: dict[str, float] = {}
         # Rooms as last worked out, and until when they hold by themselves.
-        self._rooms: dict[str, tuple[Room, float]] = {}
+        self._capacities: dict[str, tuple[FreeCapacity, float]] = {}
         # Attempts that are surely over while their end is not committed yet: their room is free.
         self.over: dict[str, set[tuple[str, int, int]]] = {}
         workers = settings.platform.deployment.workers
         # A report may be a quarter late; past two of them the machine is in doubt.
         self.fresh_s = 2.5 * workers.report_s
-        self.summary_s = summary_period_s(settings)
-        self.late_s = self.fresh_s + self.summary_s
+        self.inventory_interval_s = inventory_interval_of(settings)
+        self.late_s = self.fresh_s + self.inventory_interval_s
 
     # Evidence
 
-    def heard(self, dialogue: Dialogue) -> None:
+    def heard(self, agent: AgentSession) -> None:
         """Take in what a machine reported to us."""
-        report, notice = dialogue.report, dialogue.notice_at
-        seen = Seen(
+        report, notice = agent.report, agent.notice_at
+        seen = MachineStatus(
             type=report.type,
             zone=report.zone,
             spot=report.spot,
             session=report.session,
             age_s=0.0,
             notice_s=None if notice is None else notice - self.now,
-            errors=len(dialogue.failed),
+            errors=len(agent.failed),
         )
-        self._see(report.machine, Sight(seen, self.settings.node, dialogue.heard_at))
+        self._see(report.machine, MachineObservation(seen, self.settings.node, agent.heard_at))
 
     def observe(self) -> None:
         """Take in the summaries that are new."""
-        for node, summary, observed in self.loss.statements():
-            if self._told.get(node) is summary:
+        for node, inventory, observed in self.lease_expiry.statements():
+            if self._told.get(node) is inventory:
                 continue
-            self._told[node] = summary
-            for machine, seen in summary.machines.items():
-                self._see(machine, Sight(seen, node, observed - seen.age_s))
+            self._told[node] = inventory
+            for machine, seen in inventory.machines.items():
+                self._see(machine, MachineObservation(seen, node, observed - seen.age_s))
 
-    def tell(self, node: str, machine: str, seen: Seen) -> None:
+    def tell(self, node: str, machine: str, seen: MachineStatus) -> None:
         """Take in a peer's word on one machine."""
-        self._see(machine, Sight(seen, node, self.now - seen.age_s))
+        self._see(machine, MachineObservation(seen, node, self.now - seen.age_s))
 
-    def _see(self, machine: str, new: Sight) -> None:
-        old = self._sights.get(machine)
+    def _see(self, machine: str, new: MachineObservation) -> None:
+        old = self._observations.get(machine)
         if old is not None:
             if (new.seen.session, new.at) < (old.seen.session, old.at):
                 return
             if not new.seen.images and new.seen.session == old.seen.session:
                 new = new._replace(seen=new.seen._replace(images=old.seen.images))
-        self._sights[machine] = new
-        self._rooms.pop(machine, None)
+        self._observations[machine] = new
+        self._capacities.pop(machine, None)
         for image in new.seen.images:
             self._image_seen.setdefault(image, {})[machine] = None
 
@@ -171,81 +185,90 @@
         """The machines that may have an image; `fetch_s` says which have it."""
         return self._image_seen.get(image, {}).keys()
 
-    def sight(self, machine: str) -> Sight | None:
+    def observation(self, machine: str) -> MachineObservation | None:
         """The freshest word on a machine."""
-        return self._sights.get(machine)
+        return self._observations.get(machine)
 
-    def age_s(self, sight: Sight) -> float:
-        return self.now - sight.at
+    def age_s(self, observation: MachineObservation) -> float:
+        return self.now - observation.at
 
     def machines(self) -> Iterable[str]:
         """All machines that anyone has heard of lately."""
-        return self._sights.keys()
+        return self._observations.keys()
 
-    def room(self, machine: str) -> Room | None:
-        known = self._rooms.get(machine)
+    def capacity(self, machine: str) -> FreeCapacity | None:
+        known = self._capacities.get(machine)
         if known is not None and self.now <= known[1]:
             return known[0]
-        sight = self._sights.get(machine)
-        if sight is None:
+        observation = self._observations.get(machine)
+        if observation is None:
             return None
-        seen = sight.seen
-        kind = self.mirror.types.get(seen.type)
+        seen = observation.seen
+        kind = self.cache.types.get(seen.type)
         if kind is None:
             return None
         left = self._left.get(machine)
         if left is None:
             left = self._left[machine] = self._count(machine, kind)
-        late = self.fresh_s if sight.clerk == self.settings.node else self.late_s
-        listed = self.mirror.fleet.get(machine)
+        late = (
+            self.fresh_s if observation.reporting_controller == self.settings.node else self.late_s
+        )
+        listed = self.cache.instances.get(machine)
         sound = (
             seen.notice_s is None
             and seen.errors < SICK_ERRORS
             and (listed is None or listed.state not in ("draining", "gone"))
-            and sight.clerk not in self._doubted_clerks
+            and observation.reporting_controller not in self._doubted_controllers
         )
         # What makes it usable or not by the passing of time alone.
-        doubted, stale = self._doubts.get(machine, -math.inf), sight.at + late
+        doubted, stale = self._doubts.get(machine, -math.inf), observation.at + late
         usable = sound and doubted <= self.now <= stale
         until = math.inf
         if sound and self.now <= stale:
             until = stale if usable else min(stale, doubted)
-        room = Room(
-            machine, seen.type, seen.zone, seen.spot, seen.session, sight.clerk, *left, usable
+        capacity = FreeCapacity(
+            machine,
+            seen.type,
+            seen.zone,
+            seen.spot,
+            seen.session,
+            observation.reporting_controller,
+            *left,
+            usable,
         )
-        self._rooms[machine] = room, until
-        return room
+        self._capacities[machine] = capacity, until
+        return capacity
 
     def _count(self, machine: str, kind: MachineType) -> tuple[float, float, float]:
         """What is left there next to committed and pending starts."""
         cpus, gpus, memory = kind.cpus, kind.gpus, kind.memory_gb
         over = self.over.get(machine, ())
-        for job, task, attempt in self.mirror.attempts_on(machine):
+        for job, task, attempt in self.cache.attempts_on(machine):
             if (job.id, task, attempt.attempt) in over:
                 continue
             cpus -= job.spec.cpus
             gpus -= job.spec.gpus
             memory -= job.spec.memory_gb
-        for intent in self.gate.on_machine(machine):
-            cpus -= intent.spec.cpus
-            gpus -= intent.spec.gpus
-            memory -= intent.spec.memory_gb
+        for pending_start in self.gate.on_machine(machine):
+            cpus -= pending_start.spec.cpus
+            gpus -= pending_start.spec.gpus
+            memory -= pending_start.spec.memory_gb
         return cpus, gpus, memory
 
     def _moved(self, machine: str) -> None:
         self._left.pop(machine, None)
-        self._rooms.pop(machine, None)
+        self._capacities.pop(machine, None)
 
     def recount(self) -> None:
         """What machines can hold may have changed."""
         self._left.clear()
-        self._rooms.clear()
+        self._capacities.clear()
 
     def relist(self) -> None:
         """The fleet records changed."""
-        self._rooms.clear()
+        self._capacities.clear()
 
-    def note_over(self, item: Ended) -> None:
+    def note_over(self, item: EndedAttempt) -> None:
         """An attempt is surely over: what it held can be given away before that is committed."""
         machine = item.attempt.machine
         key = (item.job, item.task, item.attempt.attempt)
@@ -259,25 +282,28 @@
         Seen in a measured day: the same machine was chosen again a dozen times.
         """
         self._doubts[machine] = self.now + for_s
-        self._rooms.pop(machine, None)
+        self._capacities.pop(machine, None)
 
-    def doubt_clerks(self, clerks: frozenset[str]) -> None:
+    def doubt_controllers(self, reporting_controllers: frozenset[str]) -> None:
         """These controllers are not there, or cannot learn what is to start.
 
         Seen in a measured day: for the nine seconds until a cut zone's machines were stale, work
         was put there, and could not go elsewhere before the cut ended.
         """
-        changed, self._doubted_clerks = clerks ^ self._doubted_clerks, clerks
+        changed, self._doubted_controllers = (
+            reporting_controllers ^ self._doubted_controllers,
+            reporting_controllers,
+        )
         if changed:
-            for machine, sight in self._sights.items():
-                if sight.clerk in changed:
+            for machine, observation in self._observations.items():
+                if observation.reporting_controller in changed:
                     self.touch(machine)
 
     def services(self, machine: str) -> float:
         """How many cores of it services hold."""
         held = self._services.get(machine)
         if held is None:
-            specs = (job.spec for job, _, _ in self.mirror.attempts_on(machine))
+            specs = (job.spec for job, _, _ in self.cache.attempts_on(machine))
             held = sum(spec.cpus for spec in specs if spec.kind == SERVICE)
             self._services[machine] = held
         return held
@@ -290,13 +316,13 @@
         """
         if spec.gpus > 0 or not self._gpus_wanted():
             return False
-        return any(kind.gpus == 0 and kind.fits(spec) for kind in self.mirror.types.values())
+        return any(kind.gpus == 0 and kind.fits(spec) for kind in self.cache.types.values())
 
     def _gpus_wanted(self) -> bool:
         """Whether any live job needs GPUs; looked for once for each revision of the records."""
-        if self._gpus_wanted_as_of[0] != self.mirror.revision:
-            wanted = any(job.spec.gpus > 0 for job in self.mirror.jobs.values())
-            self._gpus_wanted_as_of = self.mirror.revision, wanted
+        if self._gpus_wanted_as_of[0] != self.cache.revision:
+            wanted = any(job.spec.gpus > 0 for job in self.cache.jobs.values())
+            self._gpus_wanted_as_of = self.cache.revision, wanted
         return self._gpus_wanted_as_of[1]
 
     def keeps_gpus_free(self, job: Job) -> bool:
@@ -311,61 +337,61 @@
 
     def freed(self, machine: str) -> bool:
         """Whether nothing runs there any more, committed or not."""
-        if machine not in self.mirror.on_machine:
+        if machine not in self.cache.on_machine:
             return True
         over = self.over.get(machine, set())
         return bool(over) and all(
             (job.id, task, attempt.attempt) in over
-            for job, task, attempt in self.mirror.attempts_on(machine)
+            for job, task, attempt in self.cache.attempts_on(machine)
         )
 
-    def usable_rooms(self, least_cpus: float = 0.0) -> dict[str, Room]:
+    def usable_capacities(self, least_cpus: float = 0.0) -> dict[str, FreeCapacity]:
         """All machines that can be given work, with so much room at least."""
-        rooms = {}
-        now, cached = self.now, self._rooms
+        capacities = {}
+        now, cached = self.now, self._capacities
         least_cpus -= 1e-6
-        for machine in self._sights:
+        for machine in self._observations:
             known = cached.get(machine)
-            room = known[0] if known is not None and now <= known[1] else self.room(machine)
-            if room is not None and room.usable and room.cpus >= least_cpus:
-                rooms[machine] = room
-        return rooms
+            capacity = known[0] if known is not None and now <= known[1] else self.capacity(machine)
+            if capacity is not None and capacity.usable and capacity.cpus >= least_cpus:
+                capacities[machine] = capacity
+        return capacities
 
     def leaving_machines(self) -> list[str]:
         """The machines that are about to go, as far as they are known."""
-        fleet = self.mirror.fleet
-        draining = {m for m, record in fleet.items() if record.state == "draining"}
+        instances = self.cache.instances
+        draining = {m for m, record in instances.items() if record.state == "draining"}
         return [
             machine
-            for machine, sight in self._sights.items()
-            if sight.seen.notice_s is not None or machine in draining
+            for machine, observation in self._observations.items()
+            if observation.seen.notice_s is not None or machine in draining
         ]
 
     def leaving(self, machine: str) -> str:
         """Why a machine is about to go, or an empty text."""
-        listed = self.mirror.fleet.get(machine)
+        listed = self.cache.instances.get(machine)
         if listed is not None and listed.state == "draining":
             return "draining"
-        sight = self.sight(machine)
-        return "notice" if sight is not None and sight.seen.notice_s is not None else ""
+        observation = self.observation(machine)
+        return "notice" if observation is not None and observation.seen.notice_s is not None else ""
 
     def job(self, job_id: str) -> Job | None:
-        return self.mirror.jobs.get(job_id)
+        return self.cache.jobs.get(job_id)
 
-    def settled(self, job_id: str) -> Final | None:
-        return self.mirror.pipelines.settled(job_id)
+    def settled(self, job_id: str) -> FinishedJob | None:
+        return self.cache.dependency_index.settled(job_id)
 
     def team_left(self, team: str) -> Headroom:
         """What the live attempts of a team leave under its limits."""
-        return headroom(self.limits.get(team), self.mirror.used.get(team, TeamUsage()))
+        return headroom(self.limits.get(team), self.cache.used.get(team, TeamUsage()))
 
     def version(self, resource: Resource) -> int:
         kind, name = resource
         if kind == "machine":
             return self._touched.get(name, 0)
         if kind == "team":
-            return self.mirror.version(TEAM + name)
-        return self.mirror.version(JOB + name.partition("/")[0])
+            return self.cache.version(TEAM + name)
+        return self.cache.version(JOB + name.partition("/")[0])
 
     # Changes
 
@@ -374,15 +400,15 @@
         self._touched[machine] = self._touched.get(machine, 0) + 1
         self._left.pop(machine, None)
         self._services.pop(machine, None)
-        self._rooms.pop(machine, None)
+        self._capacities.pop(machine, None)
 
     def note_start(self, spec: JobSpec, attempt: Attempt) -> None:
         """Learn from a committed start which image its machine has or fetches."""
         self._started_at[spec.id] = self.now
-        known = self.mirror.fleet.get(attempt.machine)
-        sight = self.sight(attempt.machine)
-        name = sight.seen.type if sight else known.type if known else ""
-        kind = self.mirror.types.get(name)
+        known = self.cache.instances.get(attempt.machine)
+        observation = self.observation(attempt.machine)
+        name = observation.seen.type if observation else known.type if known else ""
+        kind = self.cache.types.get(name)
         if kind is not None:
             self._image_seen.setdefault(spec.image, {})[attempt.machine] = None
             self.images.touch(
@@ -403,7 +429,7 @@
 
     def least_fetch_s(self, spec: JobSpec) -> float:
         """How long the fetch of a job's image takes at least, in seconds."""
-        rates = [t.fetch_gb_per_s for t in self.mirror.types.values() if t.fits(spec)]
+        rates = [t.fetch_gb_per_s for t in self.cache.types.values() if t.fits(spec)]
         return spec.image_gb / max([1e-6, *rates])
 
     def stage_s(self, spec: JobSpec) -> float:
@@ -411,13 +437,13 @@
         report_s = self.settings.platform.deployment.workers.report_s
         return spec.estimate_s + self.least_fetch_s(spec) + report_s / 2
 
-    def outlook(self, job: Job) -> Outlook:
+    def outlook(self, job: Job) -> SchedulingPriority:
         """Its priority and when it is due, with all that need it."""
-        return self.mirror.pipelines.outlook(job, self.stage_s)
+        return self.cache.dependency_index.outlook(job, self.stage_s)
 
     def since(self, job: Job) -> float:
         """From when its times count."""
-        return self.mirror.pipelines.since(job)
+        return self.cache.dependency_index.since(job)
 
     def latest_start(self, job: Job) -> float:
         """By when it must start to meet what is expected of it, or of those that need it."""
@@ -429,7 +455,7 @@
         Seen in a measured day: with some hundred jobs waiting, a third of each round of
         planning went into working this out again.
         """
-        outlook, types = self.outlook(job), self.mirror.types
+        outlook, types = self.outlook(job), self.cache.types
         known = self._urgencies.get(job.id)
         if (
             known is not None
@@ -443,16 +469,16 @@
         latest = min(latest, outlook.due - self.stage_s(spec))
         found = _Urgency(job, outlook, types, latest, latest - _PATIENCE * self.boot_s(spec))
         # What jobs that it names came to says from when its times count.
-        if not job.awaits:
+        if not job.dependencies:
             self._urgencies[job.id] = found
         return found
 
     def boot_s(self, spec: JobSpec) -> float:
         """How long a machine for it takes to come up."""
-        boots = [t.boot_s for t in self.mirror.types.values() if t.fits(spec)]
+        boots = [t.boot_s for t in self.cache.types.values() if t.fits(spec)]
         return min(boots, default=0.0)
 
-    def patient(self, job: Job) -> bool:
+    def can_wait_for_boot(self, job: Job) -> bool:
         """Whether a job has time to wait for the cheaper kind of machine.
 
         Seen in a measured day: work with minutes to spare kept dear machines busy that had
@@ -467,17 +493,19 @@
     def order_key(self, job: Job) -> tuple[int, int, float]:
         """Who goes first: priority, then teams within their guarantee, then the most urgent."""
         spec = job.spec
-        usage = self.mirror.used.get(spec.team, TeamUsage())
+        usage = self.cache.used.get(spec.team, TeamUsage())
         within = within_guarantee(self.limits.get(spec.team), usage, spec)
         return -self.outlook(job).priority, 0 if within else 1, self.latest_start(job)
 
     def forget(self) -> None:
         """Drop what is known of machines that nobody speaks of any more."""
         longest = 4 * self.settings.platform.deployment.workers.lease_s
-        for machine in [m for m, s in self._sights.items() if self.now - s.at > longest]:
-            del self._sights[machine]
-            self._rooms.pop(machine, None)
-        known = self._sights.keys() | self.mirror.fleet.keys() | self.mirror.on_machine.keys()
+        for machine in [m for m, s in self._observations.items() if self.now - s.at > longest]:
+            del self._observations[machine]
+            self._capacities.pop(machine, None)
+        known = (
+            self._observations.keys() | self.cache.instances.keys() | self.cache.on_machine.keys()
+        )
         self.images.keep(known)
         for image in list(self._image_seen):
             kept = {m: None for m in self._image_seen[image] if m in known}
@@ -485,7 +513,7 @@
                 self._image_seen[image] = kept
             else:
                 del self._image_seen[image]
-        jobs = self.mirror.jobs
+        jobs = self.cache.jobs
         self._urgencies = {j: u for j, u in self._urgencies.items() if j in jobs}
         self._started_at = {j: at for j, at in self._started_at.items() if j in jobs}
         self._touched = {m: v for m, v in self._touched.items() if m in known}
@@ -493,7 +521,7 @@
         self._services = {m: v for m, v in self._services.items() if m in known}
         self._doubts = {m: t for m, t in self._doubts.items() if t > self.now}
         for machine in list(self.over):
-            held = {(j.id, task, a.attempt) for j, task, a in self.mirror.attempts_on(machine)}
+            held = {(j.id, task, a.attempt) for j, task, a in self.cache.attempts_on(machine)}
             self.over[machine] &= held
             if not self.over[machine]:
                 del self.over[machine]
@@ -503,19 +531,19 @@
         wait = self.images.wait_s(placement.machine, placement.session, spec.image, self.now)
         return 0.0 if wait is None else wait
 
-    def fetch_s(self, spec: JobSpec, room: Room) -> float:
+    def fetch_s(self, spec: JobSpec, capacity: FreeCapacity) -> float:
         """How long a task would wait for its image there."""
-        wait = self.images.wait_s(room.id, room.session, spec.image, self.now)
+        wait = self.images.wait_s(capacity.id, capacity.session, spec.image, self.now)
         if wait is not None:
             return wait
-        sight = self.sight(room.id)
-        if sight is not None and spec.image in sight.seen.images:
+        observation = self.observation(capacity.id)
+        if observation is not None and spec.image in observation.seen.images:
             return 0.0
-        kind = self.mirror.types[room.type]
+        kind = self.cache.types[capacity.type]
         return spec.image_gb / max(kind.fetch_gb_per_s, 1e-6)
 
 
-def summary_period_s(settings: Settings) -> float:
+def inventory_interval_of(settings: Settings) -> float:
     """How often a controller writes its room summary.
 
     All summaries together may take a twentieth of what the store accepts.
@@ -525,18 +553,18 @@
     return max(settings.operator.summary_reports * deployment.workers.report_s, least)
 
 
-def allowed(spec: JobSpec, room: Room | Machine) -> bool:
+def allowed(spec: JobSpec, capacity: FreeCapacity | Machine) -> bool:
     """Whether the job's own wishes allow this machine."""
     return (
-        (spec.types is None or room.type in spec.types)
-        and (spec.zone is None or room.zone == spec.zone)
-        and (spec.spot or not room.spot)
+        (spec.types is None or capacity.type in spec.types)
+        and (spec.zone is None or capacity.zone == spec.zone)
+        and (spec.spot or not capacity.spot)
     )
 
 
-def likeness(spec: JobSpec, patient: bool) -> tuple[object, ...]:
+def likeness(spec: JobSpec, can_wait_for_boot: bool) -> tuple[object, ...]:
     """What decides which machines have room for a task."""
-    return spec.cpus, spec.gpus, spec.memory_gb, spec.types, spec.zone, spec.spot, patient
+    return spec.cpus, spec.gpus, spec.memory_gb, spec.types, spec.zone, spec.spot, can_wait_for_boot
 
 
 def fits(spec: JobSpec, cpus: float, gpus: float, memory_gb: float) -> bool:
@@ -549,24 +577,25 @@
     )
 
 
-def holds(room: Room, spec: JobSpec) -> bool:
-    return fits(spec, room.cpus, room.gpus, room.memory_gb)
+def holds(capacity: FreeCapacity, spec: JobSpec) -> bool:
+    return fits(spec, capacity.cpus, capacity.gpus, capacity.memory_gb)
 
 
-def beside_gpus(room: Room, kind: MachineType) -> Room:
+def beside_gpus(capacity: FreeCapacity, kind: MachineType) -> FreeCapacity:
     """What a machine's room leaves next to what its free GPUs may need of it."""
-    if room.gpus <= 0 or kind.gpus <= 0:
-        return room
-    share = room.gpus / kind.gpus
-    return room._replace(
-        cpus=room.cpus - share * kind.cpus, memory_gb=room.memory_gb - share * kind.memory_gb
+    if capacity.gpus <= 0 or kind.gpus <= 0:
+        return capacity
+    share = capacity.gpus / kind.gpus
+    return capacity._replace(
+        cpus=capacity.cpus - share * kind.cpus,
+        memory_gb=capacity.memory_gb - share * kind.memory_gb,
     )
 
 
-def less(room: Room, spec: JobSpec) -> Room:
+def less(capacity: FreeCapacity, spec: JobSpec) -> FreeCapacity:
     """What is left of a machine's room with one task more."""
-    return room._replace(
-        cpus=room.cpus - spec.cpus,
-        gpus=room.gpus - spec.gpus,
-        memory_gb=room.memory_gb - spec.memory_gb,
+    return capacity._replace(
+        cpus=capacity.cpus - spec.cpus,
+        gpus=capacity.gpus - spec.gpus,
+        memory_gb=capacity.memory_gb - spec.memory_gb,
     )
--- a/src/sandladder/scheduling/planner.py
+++ b/src/sandladder/scheduling/planner.py
@@ -15,10 +15,17 @@
 
 from sandladder.model.jobs import GANG, HIGH, LOW, SERVICE, Job, JobSpec, Placement
 from sandladder.model.quota import TeamUsage
-from sandladder.scheduling.cluster_view import Picture, allowed, beside_gpus, holds, less, likeness
-from sandladder.scheduling.premises import Intent, Room
+from sandladder.scheduling.cluster_view import (
+    ClusterView,
+    allowed,
+    beside_gpus,
+    holds,
+    less,
+    likeness,
+)
+from sandladder.scheduling.premises import FreeCapacity, PendingStart
 from sandladder.scheduling.reservation import Reservation
-from sandladder.state.store_limits import Limits
+from sandladder.state.store_limits import StoreLimits
 
 # The share of the time to start within that a task waits for a machine with its image.
 _INSIST = 0.7
@@ -31,20 +38,20 @@
 class Planner:
     """Chooses machines for the waiting tasks of the jobs that are ours to place."""
 
-    def __init__(self, picture: Picture, limits: Limits, rng: Random) -> None:
-        self.picture = picture
+    def __init__(self, cluster_view: ClusterView, limits: StoreLimits, rng: Random) -> None:
+        self.cluster_view = cluster_view
         self.rng = rng
         self.avoid: dict[str, set[str]] = {}  # by job, the machines it failed on
-        self.waits = picture.settings.waits
+        self.waits = cluster_view.settings.waits
         self.limits = limits
         self.again_s = math.inf  # after so long a plan may look different by itself
         self.urgent = False  # whether work that must start at once waited in the last round
-        self.reservation = Reservation(picture)
+        self.reservation = Reservation(cluster_view)
 
     def plan(
-        self, owned: Iterable[Job], barred: dict[str, float], least: int = LOW
-    ) -> list[Intent]:
-        """Admit pending starts for as many waiting tasks as fit; `barred` jobs back off.
+        self, owned: Iterable[Job], backing_off: dict[str, float], least: int = LOW
+    ) -> list[PendingStart]:
+        """Admit pending starts for as many waiting tasks as fit; `backing_off` jobs back off.
 
         Only for jobs of the priority `least` or more.  Seen in a measured day: with the store
         as the bottleneck, twenty starts were planned for each that could be written.
@@ -52,25 +59,25 @@
         More urgent jobs of other controllers are placed on paper only: the room that they
         are about to take, or that was made for them, is not given to lesser work.
         """
-        picture = self.picture
+        cluster_view = self.cluster_view
         self.again_s = math.inf
-        ready = picture.mirror.pipelines.ready
+        ready = cluster_view.cache.dependency_index.ready
         mine = {
             job.id
             for job in owned
             if job.waiting > 0
-            and barred.get(job.id, 0.0) <= picture.now
-            and picture.outlook(job).priority >= least
+            and backing_off.get(job.id, 0.0) <= cluster_view.now
+            and cluster_view.outlook(job).priority >= least
             and ready(job)
         }
-        urgent = (picture.outlook(picture.mirror.jobs[job_id]) for job_id in mine)
+        urgent = (cluster_view.outlook(cluster_view.cache.jobs[job_id]) for job_id in mine)
         self.urgent = any(outlook.priority >= HIGH for outlook in urgent)
-        pending: dict[str, list[Intent]] = {}
+        pending: dict[str, list[PendingStart]] = {}
         spent: dict[str, TeamUsage] = {}
-        for intent in picture.gate.pending.values():
-            pending.setdefault(intent.spec.id, []).append(intent)
-            used = spent.get(intent.spec.team, TeamUsage())
-            spent[intent.spec.team] = used.plus(intent.spec, 1)
+        for pending_start in cluster_view.gate.pending.values():
+            pending.setdefault(pending_start.spec.id, []).append(pending_start)
+            used = spent.get(pending_start.spec.team, TeamUsage())
+            spent[pending_start.spec.team] = used.plus(pending_start.spec, 1)
         left = _FULL_COMMITS * self.limits.txn_ops - len(pending)
         if not mine or left <= 0:
             return []  # more than can be committed soon would only grow stale
@@ -78,21 +85,24 @@
         aged = self.reservation.aged
         jobs = [
             job
-            for job in picture.mirror.jobs.values()
+            for job in cluster_view.cache.jobs.values()
             if job.id in mine
             or (
                 job.waiting > 0
-                and (picture.outlook(job).priority >= HIGH or (job.spec.kind == GANG and aged(job)))
+                and (
+                    cluster_view.outlook(job).priority >= HIGH
+                    or (job.spec.kind == GANG and aged(job))
+                )
                 and ready(job)
             )
         ]
-        jobs.sort(key=picture.order_key)
+        jobs.sort(key=cluster_view.order_key)
         self.reservation.review(jobs)
-        rooms = picture.usable_rooms(min(job.spec.cpus for job in jobs))
-        admitted: list[Intent] = []
-        fitting = _FittingRooms(rooms, picture)
-        held = _HeldRooms(self.reservation, fitting, picture)
-        for job, at_hand in _rounds(jobs, picture):
+        capacities = cluster_view.usable_capacities(min(job.spec.cpus for job in jobs))
+        admitted: list[PendingStart] = []
+        fitting = _FittingRooms(capacities, cluster_view)
+        held = _HeldRooms(self.reservation, fitting, cluster_view)
+        for job, at_hand in _rounds(jobs, cluster_view):
             if left <= 0:
                 break
             held.turn(job)
@@ -104,15 +114,17 @@
                 continue
             if job.id in mine:
                 left -= bool(found and not known)
-                for intent in found:
-                    picture.gate.admit(intent, picture)
+                for pending_start in found:
+                    cluster_view.gate.admit(pending_start, cluster_view)
                 admitted += found
             known += found
         return admitted
 
     def _reserve(self, job: Job, spent: dict[str, TeamUsage]) -> None:
         """Hold room back for an aged job that found none, unless its team's limit keeps it."""
-        left = self.picture.team_left(job.spec.team).less(spent.get(job.spec.team, TeamUsage()))
+        left = self.cluster_view.team_left(job.spec.team).less(
+            spent.get(job.spec.team, TeamUsage())
+        )
         need = job.waiting if job.spec.kind == GANG else 1
         if left.covers(job.spec, need):
             self.reservation.make(job)
@@ -125,20 +137,20 @@
         self,
         job: Job,
         fitting: "_FittingRooms",
-        waiting: list[Intent],
+        waiting: list[PendingStart],
         spent: dict[str, TeamUsage],
         at_hand: bool,
-    ) -> list[Intent]:
+    ) -> list[PendingStart]:
         """Places for waiting tasks of a job, only where its image is at hand if so asked."""
-        picture, spec = self.picture, job.spec
-        rooms = fitting.of(job)
-        if not rooms:
+        cluster_view, spec = self.cluster_view, job.spec
+        capacities = fitting.of(job)
+        if not capacities:
             return []
-        taken = {intent.placement.task for intent in waiting}
+        taken = {pending_start.placement.task for pending_start in waiting}
         if spec.kind == GANG and (job.live or taken):
             return []
         used = spent.get(spec.team, TeamUsage())
-        most = picture.team_left(spec.team).less(used).tasks(spec, job.waiting)
+        most = cluster_view.team_left(spec.team).less(used).tasks(spec, job.waiting)
         if spec.kind == GANG:
             if most < job.waiting:
                 return []
@@ -148,57 +160,61 @@
         if count <= 0:
             return []
         zones = [a.zone for a in job.live.values()] + [i.placement.zone for i in waiting]
-        if picture.avoids_gpus(spec) and not picture.keeps_gpus_free(job):
+        if cluster_view.avoids_gpus(spec) and not cluster_view.keeps_gpus_free(job):
             count = 1  # it is starved: one task at a time may use what is kept for GPU work
         in_time = self.in_time(job)
         if at_hand:
-            may_have = picture.may_have(spec.image)
-            rooms = {machine: rooms[machine] for machine in may_have if machine in rooms}
+            may_have = cluster_view.may_have(spec.image)
+            capacities = {
+                machine: capacities[machine] for machine in may_have if machine in capacities
+            }
 
-        def suits(room: Room) -> bool:
-            if at_hand and picture.fetch_s(spec, room) > 0:
+        def suits(capacity: FreeCapacity) -> bool:
+            if at_hand and cluster_view.fetch_s(spec, capacity) > 0:
                 return False
-            return in_time is None or in_time(room)
+            return in_time is None or in_time(capacity)
 
-        chosen = self.choose(spec, rooms, zones, count, suits)
+        chosen = self.choose(spec, capacities, zones, count, suits)
         if not chosen or (spec.kind == GANG and len(chosen) < job.waiting):
             return []
         # Which tasks they are is looked up for those alone that found a place.  Seen in a measured
         # day: all waiting tasks of arrays of two thousand were listed in each round.
         tasks = islice((task for task in job.pending() if task not in taken), len(chosen))
         found = []
-        for task, room in zip(tasks, chosen, strict=True):
-            fitting.take(room.id, spec)
-            placement = Placement(task, room.id, room.zone, room.session)
-            found.append(Intent(spec, placement, room.clerk, job.awaits))
+        for task, capacity in zip(tasks, chosen, strict=True):
+            fitting.take(capacity.id, spec)
+            placement = Placement(task, capacity.id, capacity.zone, capacity.session)
+            found.append(
+                PendingStart(spec, placement, capacity.reporting_controller, job.dependencies)
+            )
         spent[spec.team] = used.plus(spec, len(found))
         return found
 
-    def in_time(self, job: Job) -> Callable[[Room], bool] | None:
+    def in_time(self, job: Job) -> Callable[[FreeCapacity], bool] | None:
         """Where the job's tasks would start in time, images and all, while that is insisted on.
 
         Room comes free all the while: a task that is started a moment later where its image
         is starts earlier than one that waits for the fetch.
         """
-        picture, spec = self.picture, job.spec
+        cluster_view, spec = self.cluster_view, job.spec
         within = self.waits.get(spec.cls)
         if within is None:
             return None
-        age_s = picture.wall - picture.since(job)
+        age_s = cluster_view.wall - cluster_view.since(job)
         left_s = _INSIST * within - age_s
         if left_s <= 0:
             return None
         self.again_s = min(self.again_s, left_s)
-        return lambda room: age_s + picture.fetch_s(spec, room) <= within
+        return lambda capacity: age_s + cluster_view.fetch_s(spec, capacity) <= within
 
     def choose(
         self,
         spec: JobSpec,
-        rooms: dict[str, Room],
+        capacities: dict[str, FreeCapacity],
         zones: list[str],
         count: int,
-        suits: Callable[[Room], bool] | None = None,
-    ) -> list[Room]:
+        suits: Callable[[FreeCapacity], bool] | None = None,
+    ) -> list[FreeCapacity]:
         """The best fits for so many tasks among sampled machines that have room for one.
 
         The sample is in proportion to the tasks, and grows until the fits are good, up to
@@ -206,25 +222,25 @@
         is sampled is looked at: seen in a measured day, each job that was placed went several
         times through all machines.  `suits`: what else a machine must be.
         """
-        able = list(rooms.values())
+        able = list(capacities.values())
         shunned = self.avoid.get(spec.id)
         if shunned:
-            able = [room for room in able if room.id not in shunned] or able
+            able = [capacity for capacity in able if capacity.id not in shunned] or able
         if spec.one_zone:
             if suits is not None:
-                able = [room for room in able if suits(room)]
+                able = [capacity for capacity in able if suits(capacity)]
             able, suits = _one_zone(spec, able, zones), None
         there = Counter(zones)
         most = (spec.tasks + 1) // 2 if spec.spread else len(zones) + count
-        size = self.picture.settings.operator.sample * count
+        size = self.cluster_view.settings.operator.sample * count
         # Look further while the best is not a close fit with its image at hand, if any has it.
         close = 0.1 * self._run_s(spec)
-        if not any(machine in rooms for machine in self.picture.may_have(spec.image)):
-            close += self.picture.least_fetch_s(spec)
+        if not any(machine in capacities for machine in self.cluster_view.may_have(spec.image)):
+            close += self.cluster_view.least_fetch_s(spec)
         most_looked = _MOST_SAMPLES * size
-        heap: list[tuple[float, int, Room]] = []
+        heap: list[tuple[float, int, FreeCapacity]] = []
         looked = 0
-        chosen: list[Room] = []
+        chosen: list[FreeCapacity] = []
         while len(chosen) < count:
             wanting = not heap or (heap[0][0] > close and looked < most_looked)
             if looked < len(able) and wanting:
@@ -240,65 +256,67 @@
                 continue
             if not heap:
                 break
-            cost, index, room = heapq.heappop(heap)
-            if there[room.zone] >= most:
+            cost, index, capacity = heapq.heappop(heap)
+            if there[capacity.zone] >= most:
                 continue
             if spec.kind == SERVICE and there:
                 # What was chosen since may have made this zone less wanted.
-                now = self._cost(spec, room, there)
+                now = self._cost(spec, capacity, there)
                 if now > cost + 1e-9 and heap and now > heap[0][0]:
-                    heapq.heappush(heap, (now, index, room))
+                    heapq.heappush(heap, (now, index, capacity))
                     continue
-            chosen.append(room)
-            there[room.zone] += 1
-            room = less(room, spec)
-            if holds(room, spec):
-                heapq.heappush(heap, (self._cost(spec, room, there), index, room))
+            chosen.append(capacity)
+            there[capacity.zone] += 1
+            capacity = less(capacity, spec)
+            if holds(capacity, spec):
+                heapq.heappush(heap, (self._cost(spec, capacity, there), index, capacity))
         return chosen
 
     def _run_s(self, spec: JobSpec) -> float:
-        return spec.estimate_s or self.picture.settings.platform.deployment.workers.lease_s
+        return spec.estimate_s or self.cluster_view.settings.platform.deployment.workers.lease_s
 
-    def _cost(self, spec: JobSpec, room: Room, there: Counter[str]) -> float:
+    def _cost(self, spec: JobSpec, capacity: FreeCapacity, there: Counter[str]) -> float:
         """What placing it there costs, in seconds of a task's time."""
-        kind = self.picture.mirror.types[room.type]
-        cost = self.picture.fetch_s(spec, room)
+        kind = self.cluster_view.cache.types[capacity.type]
+        cost = self.cluster_view.fetch_s(spec, capacity)
         run_s = self._run_s(spec)
         if cost > 0.5 * self.waits.get(spec.cls, math.inf):
             # The fetch alone would spend the time within which the task should start.
             cost += 2 * run_s
-        if spec.spot and not room.spot:
+        if spec.spot and not capacity.spot:
             # Ordinary machines are dearer, and work that may not use others needs them.
             cost += 0.5 * run_s
-        cost += 0.2 * run_s * (room.cpus - spec.cpus) / max(kind.cpus, 1.0)
+        cost += 0.2 * run_s * (capacity.cpus - spec.cpus) / max(kind.cpus, 1.0)
         if spec.kind == SERVICE:
             if there:
-                cost += run_s * there[room.zone] / there.total()
+                cost += run_s * there[capacity.zone] / there.total()
             # It stays for long: a large machine would have to be kept for its sake.
-            largest = max(t.cpus for t in self.picture.mirror.types.values())
-            cost += run_s * (room.cpus - spec.cpus) / largest
+            largest = max(t.cpus for t in self.cluster_view.cache.types.values())
+            cost += run_s * (capacity.cpus - spec.cpus) / largest
         return cost
 
 
 class _Fitting:
     """The machines that have room for a task like one, as they are offered to it."""
 
-    def __init__(self, job: Job, picture: Picture) -> None:
+    def __init__(self, job: Job, cluster_view: ClusterView) -> None:
         self._spec = job.spec
-        self._patient = picture.patient(job)
-        self._keeps_gpus = picture.keeps_gpus_free(job)
-        self._types = picture.mirror.types
-        self.rooms: dict[str, Room] = {}
+        self._patient = cluster_view.can_wait_for_boot(job)
+        self._keeps_gpus = cluster_view.keeps_gpus_free(job)
+        self._types = cluster_view.cache.types
+        self.capacities: dict[str, FreeCapacity] = {}
 
-    def note(self, room: Room) -> None:
+    def note(self, capacity: FreeCapacity) -> None:
         """Take in how much room a machine has now."""
-        if not allowed(self._spec, room) or (self._patient and not room.spot):
+        if not allowed(self._spec, capacity) or (self._patient and not capacity.spot):
             return
-        offered = beside_gpus(room, self._types[room.type]) if self._keeps_gpus else room
+        offered = (
+            beside_gpus(capacity, self._types[capacity.type]) if self._keeps_gpus else capacity
+        )
         if holds(offered, self._spec):
-            self.rooms[room.id] = offered
+            self.capacities[capacity.id] = offered
         else:
-            self.rooms.pop(room.id, None)
+            self.capacities.pop(capacity.id, None)
 
 
 class _FittingRooms:
@@ -309,36 +327,39 @@
     every one of them.
     """
 
-    def __init__(self, rooms: dict[str, Room], picture: Picture) -> None:
-        self._rooms, self._picture = rooms, picture
+    def __init__(self, capacities: dict[str, FreeCapacity], cluster_view: ClusterView) -> None:
+        self._capacities, self._picture = capacities, cluster_view
         self._alike: dict[tuple[object, ...], _Fitting] = {}
 
-    def of(self, job: Job) -> dict[str, Room]:
+    def of(self, job: Job) -> dict[str, FreeCapacity]:
         """The machines that have room for a task of a job."""
-        picture = self._picture
-        like = (*likeness(job.spec, picture.patient(job)), picture.keeps_gpus_free(job))
+        cluster_view = self._picture
+        like = (
+            *likeness(job.spec, cluster_view.can_wait_for_boot(job)),
+            cluster_view.keeps_gpus_free(job),
+        )
         fitting = self._alike.get(like)
         if fitting is None:
-            fitting = self._alike[like] = _Fitting(job, picture)
-            for room in self._rooms.values():
-                fitting.note(room)
-        return fitting.rooms
+            fitting = self._alike[like] = _Fitting(job, cluster_view)
+            for capacity in self._capacities.values():
+                fitting.note(capacity)
+        return fitting.capacities
 
     def take(self, machine: str, spec: JobSpec) -> None:
         """A task of a job is put on a machine."""
-        self.put_back(less(self._rooms[machine], spec))
+        self.put_back(less(self._capacities[machine], spec))
 
-    def put_back(self, room: Room) -> None:
+    def put_back(self, capacity: FreeCapacity) -> None:
         """A machine has this room now."""
-        self._rooms[room.id] = room
+        self._capacities[capacity.id] = capacity
         for fitting in self._alike.values():
-            fitting.note(room)
+            fitting.note(capacity)
 
-    def remove(self, machine: str) -> Room | None:
+    def remove(self, machine: str) -> FreeCapacity | None:
         """Offer a machine to nobody; the room that it had."""
         for fitting in self._alike.values():
-            fitting.rooms.pop(machine, None)
-        return self._rooms.pop(machine, None)
+            fitting.capacities.pop(machine, None)
+        return self._capacities.pop(machine, None)
 
 
 class _HeldRooms:
@@ -348,11 +369,11 @@
         self,
         reservation: Reservation,
         fitting: "_FittingRooms",
-        picture: Picture,
+        cluster_view: ClusterView,
     ) -> None:
-        self._reservation, self._picture = reservation, picture
+        self._reservation, self._picture = reservation, cluster_view
         self._fitting = fitting
-        self._out: dict[str, Room] = {}
+        self._out: dict[str, FreeCapacity] = {}
 
     def turn(self, job: Job) -> None:
         """It is this job's turn to be placed: it sees all rooms but those held before it."""
@@ -361,45 +382,45 @@
             return
         kept = self._kept_from(job, held)
         for machine in sorted(kept - self._out.keys()):
-            room = self._fitting.remove(machine)
-            if room is not None:
-                self._out[machine] = room
+            capacity = self._fitting.remove(machine)
+            if capacity is not None:
+                self._out[machine] = capacity
         for machine in sorted(self._out.keys() - kept):
             self._fitting.put_back(self._out.pop(machine))
 
     def _kept_from(self, job: Job, held: dict[str, frozenset[str]]) -> set[str]:
         """The machines that are held for others whose claim is no lesser than this job's."""
-        jobs, rank = self._picture.mirror.jobs, self._picture.order_key
+        jobs, rank = self._picture.cache.jobs, self._picture.order_key
         claim = rank(job)[:2]
         kept: set[str] = set()
-        for owner, machines in held.items():
-            if owner != job.id and claim >= rank(jobs[owner])[:2]:
+        for assignee, machines in held.items():
+            if assignee != job.id and claim >= rank(jobs[assignee])[:2]:
                 kept |= machines
         return kept
 
 
-def _rounds(jobs: list[Job], picture: Picture) -> Iterator[tuple[Job, bool]]:
+def _rounds(jobs: list[Job], cluster_view: ClusterView) -> Iterator[tuple[Job, bool]]:
     """The order in which jobs get room, and whether only where their image is at hand.
 
     Among jobs of one priority, whoever has its image somewhere goes there first: a place
     serves twice as many short tasks when it need not fetch an image for each.
     """
-    for _, group in groupby(jobs, lambda job: picture.outlook(job).priority):
+    for _, group in groupby(jobs, lambda job: cluster_view.outlook(job).priority):
         alike = list(group)
         if len({job.spec.image for job in alike}) > 1:
             yield from ((job, True) for job in alike if job.spec.kind != GANG)
         yield from ((job, False) for job in alike)
 
 
-def _one_zone(spec: JobSpec, able: list[Room], zones: list[str]) -> list[Room]:
+def _one_zone(spec: JobSpec, able: list[FreeCapacity], zones: list[str]) -> list[FreeCapacity]:
     """The machines of the zone that the job is in, or of the one with the most room."""
     places: Counter[str] = Counter()
-    for room in able:
-        number = min(room.cpus / spec.cpus, room.memory_gb / max(spec.memory_gb, 1e-9))
+    for capacity in able:
+        number = min(capacity.cpus / spec.cpus, capacity.memory_gb / max(spec.memory_gb, 1e-9))
         if spec.gpus > 0:
-            number = min(number, room.gpus / spec.gpus)
-        places[room.zone] += int(number + 1e-6)
+            number = min(number, capacity.gpus / spec.gpus)
+        places[capacity.zone] += int(number + 1e-6)
     if not places:
         return []
     chosen = zones[0] if zones else max(places, key=lambda zone: places[zone])
-    return [room for room in able if room.zone == chosen]
+    return [capacity for capacity in able if capacity.zone == chosen]
