--- a/tests/world.py
+++ b/tests/world.py
@@ -338,16 +338,16 @@
 
 
 class FakeLink:
-    """Stands in for `mesh.Link`."""
+    """Stands in for `mesh.PeerConnection`."""
 
     def __init__(self, world: "World", source: str, target: str, mesh: Any) -> None:
         self._world, self._source, self._target, self._mesh = world, source, target, mesh
         self.refused = False
         self._queue: list[Any] = []  # what came since the last try to connect
         self.heard_at = float("-inf")
-        self.state_ok = False
+        self.store_reachable = self.state_ok = False
         self.demand = 0
-        self.form = 1
+        self.schema_version = self.form = 1  # the version in production calls it `form`
 
     def probe(self) -> None:
         """Notice whether anybody listens there, as a connection does."""
@@ -356,18 +356,20 @@
         if refused != self.refused:
             self.refused = refused
             peers = self._world.nodes[self._source].peers
-            if hasattr(peers, "_link_changed"):  # the version before looks at the link itself
-                peers._link_changed(self._target, refused)
+            if hasattr(peers, "connection_changed"):  # the version before looks at the link itself
+                peers.connection_changed(self._target, refused)
         # As the real link: what was queued since the last try goes out once it is connected.
         queue, self._queue = self._queue, []
         for message in [] if refused else queue:
             self.send(message)
 
-    def nudge(self) -> None:
-        sign = self._world.nodes[self._source].peers.beat()
+    def flush(self) -> None:
+        sign = self._world.nodes[self._source].peers.heartbeat()
         if sign is not None:
             self.send(sign)
 
+    nudge = flush  # as the version in production calls it
+
     def send(self, message: Any) -> None:
         if self.refused:
             self._queue.append(message)
@@ -387,7 +389,7 @@
             except msgspec.DecodeError as error:
                 self._world.breaks("mesh", f"{self._target} cannot read {body!r}: {error}")
             else:
-                node.on_processor(lambda: node.peers.hear(message))
+                node.on_processor(lambda: node.peers.handle(message))
 
         self._world.network.start(carry)
 
@@ -408,10 +410,23 @@
                 ),
                 wall=lambda: now() + 1e6,
             )
-            self.peers.links = {
+            connections = {
                 n: FakeLink(world, self.node, n, version.mesh) for n in self.nodes if n != self.node
             }
 
+            if hasattr(self, "mirror"):
+                self._add_todays_names()
+                self.peers.links = connections
+            self.peers.connections = connections
+
+        def _add_todays_names(self) -> None:
+            """Let the simulation use a controller of the version in production like today's."""
+            self.cache, self.job_api = self.mirror, self.users
+            self.heartbeat_interval_s = self.beat_s
+            self.peers.heartbeat, self.peers.handle = self.peers.beat, self.peers.hear
+            if hasattr(self.peers, "_link_changed"):
+                self.peers.connection_changed = self.peers._link_changed
+
         def _duty_failed(self, name: str) -> None:
             self._world.breaks("duty", f"{name}: {sys.exc_info()[1]!r}")
 
@@ -424,11 +439,11 @@
         def _listen(self, tasks: Any) -> None:
             async def beats() -> None:
                 while True:
-                    for link in self.peers.links.values():
+                    for link in self.peers.connections.values():
                         link.probe()
-                        if (sign := self.peers.beat()) is not None:
+                        if (sign := self.peers.heartbeat()) is not None:
                             link.send(sign)
-                    await anyio.sleep(self.beat_s)
+                    await anyio.sleep(self.heartbeat_interval_s)
 
             tasks.start_soon(beats)
 
@@ -520,7 +535,7 @@
             self.on_lost(writer)
         await anyio.sleep(0.8)
         others = [node for name, node in self.world.nodes.items() if name != writer]
-        seen = any(node.mirror.revision >= revision for node in others)
+        seen = any(node.cache.revision >= revision for node in others)
         self.world.met["read by others while its writer did not know"] += seen
 
     async def _later(self, body: Any) -> None:
@@ -662,7 +677,7 @@
         self.sick = False
         self.notice_until: float | None = None
         self.changed = anyio.Event()
-        self.clerk = world.rng.randrange(world.count)
+        self.reporting_controller = world.rng.randrange(world.count)
 
     def report(self) -> dict[str, Any]:
         self.seq += 1
@@ -811,11 +826,11 @@
         if now() < self.mute_until:
             self.world.met["mute"] += bool(self.tasks)
             await anyio.sleep(1.0)
-            self.clerk = (self.clerk + 1) % self.world.count
+            self.reporting_controller = (self.reporting_controller + 1) % self.world.count
             return
         sent, session = now(), self.session
         request = Request("POST", "/v1/report", cbor2.dumps(self.report()))
-        target = f"node-{self.clerk}"
+        target = f"node-{self.reporting_controller}"
         self.world.note_copy(self, request)
         try:
             answer = await self.world.network.call(self.name, target, request, 4.0)
@@ -838,10 +853,10 @@
             return
         named = cbor2.loads(answer.body).get("clerk") if answer.status == 421 else None
         if named is not None and named != target:
-            self.clerk = int(named.rpartition("-")[2])
+            self.reporting_controller = int(named.rpartition("-")[2])
             return
         await anyio.sleep(1.0)
-        self.clerk = (self.clerk + 1) % self.world.count
+        self.reporting_controller = (self.reporting_controller + 1) % self.world.count
 
     async def _again(self, request: Request, target: str) -> None:
         """A copy of a report arrives once more, up to well over a lease later."""
@@ -1048,7 +1063,7 @@
                     answered = anyio.Event()
 
                     async def serve() -> None:
-                        box.append(await node.users.handle(request))
+                        box.append(await node.job_api.handle(request))
                         answered.set()
 
                     if node.tasks is None:
@@ -1088,7 +1103,7 @@
             self.network.handlers.pop(name, None)
             # Whoever was connected to it is told at once.
             for node in self.nodes.values():
-                node.peers.links[name].probe()
+                node.peers.connections[name].probe()
 
     def ordered(self, orders: list[dict[str, Any]]) -> None:
         """A controller sends orders to a machine."""
--- a/tools/capacity/measure.py
+++ b/tools/capacity/measure.py
@@ -11,17 +11,17 @@
 
 from capacity import scene as scenes
 from capacity.rows import Row
-from sandladder.autoscaling.scaling_policy import Provisioner
+from sandladder.autoscaling.scaling_policy import ScalingPolicy
 from sandladder.config.settings import TeamLimits
 from sandladder.jobs.transitions import end, start
-from sandladder.model.agents import Command, Entry, Report, Stamp
-from sandladder.model.jobs import Ended, Placement
-from sandladder.model.machines import Machine, Seen, Summary
+from sandladder.model.agents import AgentHeartbeat, ClockReading, Command, ReportedTask
+from sandladder.model.jobs import EndedAttempt, Placement
+from sandladder.model.machines import Machine, MachineInventory, MachineStatus
 from sandladder.model.membership import Member
 from sandladder.protocol import wire
-from sandladder.state.cache import Mirror
-from sandladder.state.records import JOB, fleet_value, fold_summary
-from sandladder.state.transaction import View
+from sandladder.state.cache import StateCache
+from sandladder.state.records import JOB, fold_inventory, instances_value
+from sandladder.state.transaction import Transaction
 from sandladder.transport import peer_transport
 from sandladder.transport.http import Response, _encode_answer
 
@@ -54,13 +54,13 @@
         return self._seconds(step, repeat) / self.reference_s
 
 
-def entries(tasks: int) -> list[Entry]:
-    return [Entry(f"job-{n % 40:06d}", n, 1, "running", "", False) for n in range(tasks)]
+def entries(tasks: int) -> list[ReportedTask]:
+    return [ReportedTask(f"job-{n % 40:06d}", n, 1, "running", "", False) for n in range(tasks)]
 
 
 def report_body(tasks: int) -> bytes:
     """A worker's report as it is sent."""
-    found: Report = scenes.report(7, entries(tasks))
+    found: AgentHeartbeat = scenes.report(7, entries(tasks))
     items = [
         {"entry": f"{e.job}/{e.task}", "try": e.attempt, "standing": e.state} for e in found.entries
     ]
@@ -78,25 +78,25 @@
     return wire.dumps(wire.commands_value(41, orders) | {"shift": 1})
 
 
-def beat(controllers: int) -> bytes:
+def heartbeat(controllers: int) -> bytes:
     peers = [f"node-{n}" for n in range(controllers - 1)]
     heard = dict.fromkeys(peers, (0.123, False))
-    echoes = {name: Stamp(1 << 39, 12345.678) for name in peers}
-    found = peer_transport.Beat(
+    echoes = {name: ClockReading(1 << 39, 12345.678) for name in peers}
+    found = peer_transport.PeerHeartbeat(
         "node-8", True, 10, 2, 9, 9, 0.01, 144, False, heard, 1 << 39, 12345.678, echoes, [], True
     )
     return peer_transport._frame(found)
 
 
-def summary(machines: int) -> Summary:
+def inventory(machines: int) -> MachineInventory:
     seen = {
-        scenes.machine_name(n): Seen(
+        scenes.machine_name(n): MachineStatus(
             "worker", scenes.ZONES[n % 4], True, 1, n % 40 / 10, None, 0,
             tuple(f"img-{(n + i) % 31}" for i in range(4)),
         )
         for n in range(machines)
     }  # fmt: skip
-    return Summary(7, 99.5, 1234567, seen, 2, 1 << 39)
+    return MachineInventory(7, 99.5, 1234567, seen, 2, 1 << 39)
 
 
 def sizes_of_messages(run: str) -> Iterator[Row]:
@@ -112,30 +112,32 @@
             peer_transport.EndedTask(f"job-{n:06d}", n, scenes.machine_name(n), "a1", 1, 1, "done")
             for n in range(tasks)
         ]
-        yield row("ends told", "ends", tasks, len(peer_transport._frame(peer_transport.Ends(ends))))
+        yield row(
+            "ends told", "ends", tasks, len(peer_transport._frame(peer_transport.EndedTasks(ends)))
+        )
     for size in (0, 400, 800, 1600, 3200):
         around = len(request_bytes(bytes(size))) - size
         around += len(http_exchange(request_bytes(bytes(size)), Response(200, bytes(100)))()) - 100
         yield row("HTTP around a report and its answer", "bytes of the body", size, around)
     for controllers in (3, 5, 7, 9, 12):
-        yield row("beat", "controllers", controllers, len(beat(controllers)))
+        yield row("beat", "controllers", controllers, len(heartbeat(controllers)))
         roster = {f"node-{n}": list(Member(n, 0, "in", 1e9, 0, "")) for n in range(controllers)}
         yield row("roster", "controllers", controllers, len(scenes.encoded(roster)))
     for machines in (50, 100, 150, 200, 300):
-        whole = sum(len(scenes.encoded(v)) for v in fold_summary(summary(machines), 1e9))
+        whole = sum(len(scenes.encoded(v)) for v in fold_inventory(inventory(machines), 1e9))
         yield row("room summary", "workers", machines, whole)
         fleet = {
             scenes.machine_name(n): Machine("worker", "a1", True, "rented", 1e9)
             for n in range(machines)
         }
-        yield row("fleet record", "workers", machines, len(scenes.encoded(fleet_value(fleet))))
+        yield row("fleet record", "workers", machines, len(scenes.encoded(instances_value(fleet))))
     for tasks in (10, 50, 100, 200, 400):
         built = scenes.build(tasks)
         ids = scenes.add_jobs(built, 1, tasks)
         scenes.start_all(built, ids, tasks)
-        view = View(built.mirror)
-        assert view.job(ids[0]) is not None
-        value = view.changes()[0][1]
+        transaction = Transaction(built.cache)
+        assert transaction.job(ids[0]) is not None
+        value = transaction.changes()[0][1]
         yield row("job record", "live tasks", tasks, len(scenes.encoded(value)))
 
 
@@ -209,13 +211,13 @@
     def step() -> None:
         nonlocal seq
         seq += 1
-        running = [Entry(name, 0, 1, "running", "", False) for name in ids[:tasks]]
+        running = [ReportedTask(name, 0, 1, "running", "", False) for name in ids[:tasks]]
         found = scenes.report(0, running, seq)
-        dialogue = built.delivery.heard(found, 1.0, direct=False).dialogue
-        built.picture.heard(dialogue)
-        dialogue.synced = True
-        built.delivery.ends(dialogue, built.mirror)
-        built.delivery.answer(dialogue, built.mirror)
+        agent = built.reconciler.heard(found, 1.0, direct=False).agent
+        built.cluster_view.heard(agent)
+        agent.synced = True
+        built.reconciler.ends(agent, built.cache)
+        built.reconciler.answer(agent, built.cache)
 
     return watch.steps(step, 100)
 
@@ -225,25 +227,25 @@
     built = scenes.build(tasks)
     ids = scenes.add_jobs(built, 1, 2 * tasks)
     job_id = ids[0]
-    job = built.mirror.jobs[job_id]
+    job = built.cache.jobs[job_id]
     first = [Placement(n, scenes.machine_name(n), "a1", 1) for n in range(tasks)]
-    view = View(built.mirror)
+    transaction = Transaction(built.cache)
     limits = TeamLimits(job.spec.team)
-    start(view, job_id, first, limits, scenes.PLACER)
-    scenes.apply(built.mirror, [(key, value) for key, value, _ in view.changes()])
-    ended = Ended(job_id, 0, built.mirror.jobs[job_id].live[0], "done")
+    start(transaction, job_id, first, limits, scenes.PLACER)
+    scenes.apply(built.cache, [(key, value) for key, value, _ in transaction.changes()])
+    ended = EndedAttempt(job_id, 0, built.cache.jobs[job_id].live[0], "done")
     place = [Placement(tasks, scenes.machine_name(0), "a1", 1)]
 
     def write() -> list[tuple[str, object]]:
-        change = View(built.mirror)
+        change = Transaction(built.cache)
         end(change, [ended], 1.0)
         start(change, job_id, place, limits, scenes.PLACER)
         changes = change.changes()
-        wire.commit_body(change.guards.items(), changes, [])
+        wire.commit_body(change.expected_versions.items(), changes, [])
         return [(key, value) for key, value, _ in changes]
 
     value = dict(write())[JOB + job_id]
-    other = scenes.build(1).mirror
+    other = scenes.build(1).cache
     number = 0
 
     def read() -> None:
@@ -258,20 +260,20 @@
     """Rounds of planning with and without room, and of renting, over so many workers."""
     built = scenes.build(machines)
     ids = scenes.add_jobs(built, 24, 1)
-    jobs = [built.mirror.jobs[name] for name in ids]
+    jobs = [built.cache.jobs[name] for name in ids]
 
     def plan() -> None:
         built.planner.plan(jobs, {})
-        for intent in list(built.picture.gate.pending.values()):
-            built.picture.gate.withdraw(intent)
+        for pending_start in list(built.cluster_view.gate.pending.values()):
+            built.cluster_view.gate.withdraw(pending_start)
 
     planned = watch.steps(plan, 3)
     full = scenes.build(machines)
     filler = scenes.add_jobs(full, machines, int(scenes.TYPE.cpus / scenes.TASK_CPUS))
     start_full(full, filler)
-    waiting = [full.mirror.jobs[n] for n in scenes.add_jobs(full, 24, 1, first=machines)]
+    waiting = [full.cache.jobs[n] for n in scenes.add_jobs(full, 24, 1, first=machines)]
     nothing = watch.steps(lambda: full.planner.plan(waiting, {}), 3)
-    renter = Provisioner(full.picture)
+    renter = ScalingPolicy(full.cluster_view)
     rented = watch.steps(lambda: renter.rental_requests(1.0), 3)
     return planned, nothing, rented
 
@@ -280,12 +282,12 @@
     """Each job fills one machine."""
     for number, job_id in enumerate(job_ids):
         name, zone = scenes.machine_name(number), scenes.ZONES[number % len(scenes.ZONES)]
-        tasks = full.mirror.jobs[job_id].spec.tasks
+        tasks = full.cache.jobs[job_id].spec.tasks
         places = [Placement(task, name, zone, 1) for task in range(tasks)]
-        view = View(full.mirror)
-        start(view, job_id, places, TeamLimits(scenes.team_name(0)), scenes.PLACER)
-        scenes.apply(full.mirror, [(key, value) for key, value, _ in view.changes()])
-        full.picture.touch(name)
+        transaction = Transaction(full.cache)
+        start(transaction, job_id, places, TeamLimits(scenes.team_name(0)), scenes.PLACER)
+        scenes.apply(full.cache, [(key, value) for key, value, _ in transaction.changes()])
+        full.cluster_view.touch(name)
 
 
 def _restart(watch: Stopwatch, jobs: int) -> float:
@@ -295,10 +297,10 @@
     scenes.start_all(built, ids, 100)
     items = []
     for job_id in ids:
-        view = View(built.mirror)
-        assert view.job(job_id) is not None
-        items.append((JOB + job_id, view.changes()[0][1], 5))
-    return watch.steps(lambda: Mirror().reset(10, items), 1)
+        transaction = Transaction(built.cache)
+        assert transaction.job(job_id) is not None
+        items.append((JOB + job_id, transaction.changes()[0][1], 5))
+    return watch.steps(lambda: StateCache().reset(10, items), 1)
 
 
 def memory(run: str) -> Iterator[Row]:
--- a/tools/capacity/scene.py
+++ b/tools/capacity/scene.py
@@ -5,8 +5,8 @@
 
 import msgspec
 
-from sandladder.agents.lease_expiry import LossProof
-from sandladder.agents.reconciler import Delivery
+from sandladder.agents.lease_expiry import LeaseExpiryProof
+from sandladder.agents.reconciler import Reconciler
 from sandladder.config.settings import (
     Cloud,
     Deployment,
@@ -15,37 +15,42 @@
     Settings,
     State,
     TeamLimits,
-    Workers,
+    WorkerSettings,
 )
 from sandladder.jobs.transitions import start, submit
-from sandladder.model.agents import Entry, Report
+from sandladder.model.agents import AgentHeartbeat, ReportedTask
 from sandladder.model.jobs import ARRAY, NORMAL, JobSpec, Placement
 from sandladder.model.machines import MachineType
-from sandladder.model.membership import Placer
-from sandladder.model.schema import FORM
-from sandladder.scheduling.cluster_view import Picture
+from sandladder.model.membership import TeamAssignment
+from sandladder.model.schema import SCHEMA_V2
+from sandladder.scheduling.cluster_view import ClusterView
 from sandladder.scheduling.planner import Planner
 from sandladder.scheduling.premises import Gate
-from sandladder.state.cache import Mirror
-from sandladder.state.records import FORM_KEY, TEAM, form_value, placer_value
-from sandladder.state.store_limits import Limits
-from sandladder.state.transaction import View
+from sandladder.state.cache import StateCache
+from sandladder.state.records import (
+    SCHEMA_VERSION_KEY,
+    TEAM,
+    assignment_value,
+    schema_version_value,
+)
+from sandladder.state.store_limits import StoreLimits
+from sandladder.state.transaction import Transaction
 
 NODE, TERM = "node-0", 1
 ZONES = ("a1", "a2", "b1", "b2")
 TYPE = MachineType("worker", 32.0, 0.0, 128.0, 80.0, 1.0, 1.0, 0.3, 30.0, ZONES)
-PLACER = Placer(NODE, TERM)
+PLACER = TeamAssignment(NODE, TERM)
 TASK_CPUS = 1.0
 
 
 class Scene(NamedTuple):
     """One controller's copy of the records and what it decides on."""
 
-    mirror: Mirror
-    picture: Picture
+    cache: StateCache
+    cluster_view: ClusterView
     planner: Planner
-    limits: Limits
-    delivery: Delivery
+    limits: StoreLimits
+    reconciler: Reconciler
 
 
 def platform(teams: int, controllers: int, value_kb: float = 8.0) -> Platform:
@@ -58,7 +63,7 @@
         external=External("127.0.0.1:3", "127.0.0.1:4"),
         deployment=Deployment(
             zones=list(ZONES),
-            workers=Workers(report_s=2.5, lease_s=16.0, cancel_s=40.0),
+            workers=WorkerSettings(report_s=2.5, lease_s=16.0, cancel_s=40.0),
             state=State(rps=300.0, write_rps=20.0, value_kb=value_kb, txn_ops=12),
             cloud=Cloud(rps=10.0, list_lag_s=6.0),
             teams=[TeamLimits(team_name(n), 8.0, 4000.0) for n in range(teams)],
@@ -82,46 +87,48 @@
     return f"vm-{number:06d}"
 
 
-def report(number: int, entries: list[Entry], seq: int = 1) -> Report:
+def report(number: int, entries: list[ReportedTask], seq: int = 1) -> AgentHeartbeat:
     """What a machine reports."""
     name, zone = machine_name(number), ZONES[number % len(ZONES)]
-    return Report(name, f"{name}:9000", TYPE.name, zone, True, 1, seq, TERM, None, tuple(entries))
+    return AgentHeartbeat(
+        name, f"{name}:9000", TYPE.name, zone, True, 1, seq, TERM, None, tuple(entries)
+    )
 
 
 def build(machines: int, teams: int = 1, controllers: int = 9, value_kb: float = 8.0) -> Scene:
     """A scene with so many machines that report to this controller, and no jobs."""
-    mirror, delivery, gate = Mirror(), Delivery(), Gate()
-    mirror.types[TYPE.name] = TYPE
+    cache, reconciler, gate = StateCache(), Reconciler(), Gate()
+    cache.types[TYPE.name] = TYPE
     settings = Settings(platform(teams, controllers, value_kb))
     names = [f"node-{n}" for n in range(controllers)]
-    loss = LossProof(NODE, names, 16.0, 0.0)
-    picture = Picture(settings, mirror, delivery, loss, gate)
-    delivery.new_term(TERM)
+    loss = LeaseExpiryProof(NODE, names, 16.0, 0.0)
+    cluster_view = ClusterView(settings, cache, reconciler, loss, gate)
+    reconciler.new_term(TERM)
     for number in range(machines):
-        heard = delivery.heard(report(number, []), 0.0, direct=False)
-        picture.heard(heard.dialogue)
-    limits = Limits(settings.platform.deployment.state, mirror)
-    records = [(FORM_KEY, form_value(FORM))]
-    records += [(TEAM + team_name(n), placer_value(PLACER)) for n in range(teams)]
-    apply(mirror, records)
-    return Scene(mirror, picture, Planner(picture, limits, Random(1)), limits, delivery)
+        heard = reconciler.heard(report(number, []), 0.0, direct=False)
+        cluster_view.heard(heard.agent)
+    limits = StoreLimits(settings.platform.deployment.state, cache)
+    records = [(SCHEMA_VERSION_KEY, schema_version_value(SCHEMA_V2))]
+    records += [(TEAM + team_name(n), assignment_value(PLACER)) for n in range(teams)]
+    apply(cache, records)
+    return Scene(cache, cluster_view, Planner(cluster_view, limits, Random(1)), limits, reconciler)
 
 
-def apply(mirror: Mirror, changes: list[tuple[str, object]]) -> None:
+def apply(cache: StateCache, changes: list[tuple[str, object]]) -> None:
     """Take in changes as if the state service had just carried them out."""
-    revision = mirror.revision + 1
-    mirror.wrote(revision, changes)
-    mirror.apply(revision, [])
+    revision = cache.revision + 1
+    cache.wrote(revision, changes)
+    cache.apply(revision, [])
 
 
 def add_jobs(scene: Scene, jobs: int, tasks: int, first: int = 0, teams: int = 1) -> list[str]:
     """Accept so many jobs of so many tasks."""
     ids = []
     for number in range(first, first + jobs):
-        view = View(scene.mirror)
+        transaction = Transaction(scene.cache)
         spec = job_spec(number, tasks, number % teams)
-        submit(view, spec, 0.0)
-        apply(scene.mirror, [(key, value) for key, value, _ in view.changes()])
+        submit(transaction, spec, 0.0)
+        apply(scene.cache, [(key, value) for key, value, _ in transaction.changes()])
         ids.append(spec.id)
     return ids
 
@@ -131,14 +138,14 @@
     number = 0
     for job_id in job_ids:
         places = []
-        for task in scene.mirror.jobs[job_id].pending():
+        for task in scene.cache.jobs[job_id].pending():
             where = number % machines
             places.append(Placement(task, machine_name(where), ZONES[where % len(ZONES)], 1))
             number += 1
-        view = View(scene.mirror)
-        team = scene.mirror.jobs[job_id].spec.team
-        start(view, job_id, places, TeamLimits(team), PLACER)
-        apply(scene.mirror, [(key, value) for key, value, _ in view.changes()])
+        transaction = Transaction(scene.cache)
+        team = scene.cache.jobs[job_id].spec.team
+        start(transaction, job_id, places, TeamLimits(team), PLACER)
+        apply(scene.cache, [(key, value) for key, value, _ in transaction.changes()])
 
 
 def encoded(value: object) -> bytes:
--- a/tools/handover.py
+++ b/tools/handover.py
@@ -24,7 +24,7 @@
 
 from fleet import HOLD, REPORT, Fleet, Node  # noqa: E402
 
-from sandladder.membership.grading import Grade  # noqa: E402
+from sandladder.membership.failure_detector import HealthLevel  # noqa: E402
 
 # How long a night goes on after its fault: time enough to go home again.
 _AFTER_S = 40.0
@@ -87,17 +87,17 @@
     fleet = Fleet(count, teams=3, seed=seed)
     fleet.play(20.0 + Random(seed).uniform(0.0, 2 * REPORT))
     team = fleet.teams[0]
-    victim = fleet.placers()[team].node
+    victim = fleet.assignments()[team].node
     mark, began, acts = fleet.mark(), fleet.now, len(fleet.acts)
     fault(fleet, victim, True)
     suspected = handed = math.inf
     for over_at in (began + for_s, began + for_s + _AFTER_S):
         while fleet.now < over_at:
             fleet.step()
-            grades = [node.steward.findings[victim].grade for node in _others(fleet, victim)]
-            if max(grades) >= Grade.UNABLE:
+            grades = [node.policy.findings[victim].grade for node in _others(fleet, victim)]
+            if max(grades) >= HealthLevel.UNABLE:
                 suspected = min(suspected, fleet.now - began)
-            if fleet.placers()[team].node != victim:
+            if fleet.assignments()[team].node != victim:
                 handed = min(handed, fleet.now - began)
         if over_at == began + for_s:
             fault(fleet, victim, False)
--- a/tools/scale_run.py
+++ b/tools/scale_run.py
@@ -62,7 +62,7 @@
             super().check()
 
 
-class Load:
+class WorkerLoad:
     """Users who submit jobs at a steady rate, and when each was submitted and had begun."""
 
     def __init__(self, world: ScaleWorld, teams: list[str], starts_per_s: float) -> None:
@@ -70,7 +70,7 @@
         tasks = _URGENT * _URGENT_TASKS + (_OF_JOBS - _URGENT) * _ARRAY_TASKS
         self._jobs_per_s = starts_per_s * _OF_JOBS / tasks
         self.submitted: dict[str, float] = {}
-        self.begun: dict[str, float] = {}  # when all tasks of a job had started
+        self.started_tasks: dict[str, float] = {}  # when all tasks of a job had started
         self.urgent: set[str] = set()
 
     async def submit(self) -> None:
@@ -100,16 +100,16 @@
         """Note when jobs have begun, until cancelled."""
         while True:
             await anyio.sleep(_SAMPLE_S)
-            for job_id in [j for j in self.submitted if j not in self.begun]:
+            for job_id in [j for j in self.submitted if j not in self.started_tasks]:
                 tasks = self._world.specs.get(job_id, {}).get("entries")
                 names = (f"{job_id}/{task}" for task in range(tasks or 0))
                 if tasks and all(self._world.starts[name] for name in names):
-                    self.begun[job_id] = now()
+                    self.started_tasks[job_id] = now()
 
     def waits(self, since: float, urgent: bool) -> list[float]:
         """How long jobs submitted since then waited, those that still wait as long as so far."""
         return [
-            self.begun.get(job_id, now()) - at
+            self.started_tasks.get(job_id, now()) - at
             for job_id, at in self.submitted.items()
             if at >= since and (job_id in self.urgent) == urgent
         ]
@@ -128,7 +128,7 @@
     for worker in world.cloud.workers.values():
         worker.boots_at = now()
     await warm(world)
-    load = Load(world, [team["name"] for team in world.teams], options.rate)
+    load = WorkerLoad(world, [team["name"] for team in world.teams], options.rate)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(load.submit)
         tasks.start_soon(load.watch)
@@ -156,7 +156,7 @@
         tasks.cancel_scope.cancel()
 
 
-def _waits(load: Load, since: float, urgent: bool) -> list[float]:
+def _waits(load: WorkerLoad, since: float, urgent: bool) -> list[float]:
     waits = load.waits(since, urgent)
     return [round(percentile(waits, percent), 2) for percent in (50, 99)]
 
