--- a/tools/same_plays.py
+++ b/tools/same_plays.py
@@ -10,6 +10,9 @@
 differ with the first difference.  A play whose checks fail on both sides alike is compared all the
 same, and said to fail.
 
+With `--keep DIR` the base's events are kept there and used again, so that only the working tree is
+played; the base's processor times are then those of the kept run.
+
 Exit status 0 if all plays are the same and none failed, 1 otherwise, 2 for a base that cannot be
 had.
 """
@@ -17,7 +20,9 @@
 import argparse
 import io
 import itertools
+import json
 import os
+import re
 import subprocess
 import sys
 import tarfile
@@ -70,6 +75,12 @@
         members.extractall(folder, filter="data")
 
 
+def commit_id(commit: str) -> str:
+    """The full id of a commit."""
+    command = ["git", "-C", str(ROOT), "rev-parse", commit]
+    return subprocess.run(command, check=True, capture_output=True, text=True).stdout.strip()
+
+
 def import_path(tree: Path) -> str:
     """The folders of a tree from which its plays import."""
     tests = tree / "tests"
@@ -115,9 +126,28 @@
         return next((at for at, (line, match) in enumerate(pairs) if line != match), None)
 
 
-def compare(name: str, base: Path, here: Path, scratch: Path, number: int) -> Comparison:
-    """Run one play in both trees, one after the other."""
-    one = play(base, name, scratch / f"{number}-base")
+def kept_play(tree: Path, name: str, events: Path) -> Outcome:
+    """The outcome of a play whose events were kept, or else play it and keep them."""
+    noted = events.with_suffix(".json")
+    if noted.exists():
+        return Outcome(events, **json.loads(noted.read_text()))
+    found = play(tree, name, events)
+    figures = {field: value for field, value in vars(found).items() if field != "events"}
+    # Written last and in one step: a run that was broken off is not taken for a whole one.
+    draft = noted.with_suffix(".draft")
+    draft.write_text(json.dumps(figures))
+    draft.rename(noted)
+    return found
+
+
+def compare(
+    name: str, base: Path, here: Path, scratch: Path, number: int, kept: Path | None = None
+) -> Comparison:
+    """Run one play in both trees, one after the other; the base's from what was kept, if so."""
+    if kept is None:
+        one = play(base, name, scratch / f"{number}-base")
+    else:
+        one = kept_play(base, name, kept / re.sub(r"[^0-9a-z]+", "-", name))
     other = play(here, name, scratch / f"{number}-here")
     return Comparison(name, one, other, first_difference(one.events, other.events))
 
@@ -159,6 +189,7 @@
     parser.add_argument("--jobs", type=int, default=os.cpu_count(), help="plays at once")
     parser.add_argument("--only", default="", metavar="TEXT", help="plays with this in their name")
     parser.add_argument("--context", type=int, default=3, help="events shown before a difference")
+    parser.add_argument("--keep", type=Path, metavar="DIR", help="keep and reuse the base's events")
     options = parser.parse_args(arguments)
     with tempfile.TemporaryDirectory(prefix="sandladder-plays-") as folder:
         scratch = Path(folder)
@@ -173,10 +204,14 @@
         if missing or not names:
             print(f"no play has that in its name, or the base lacks: {missing}", file=sys.stderr)
             return 2
+        kept = None
+        if options.keep is not None:
+            kept = options.keep / commit_id(options.base)
+            kept.mkdir(parents=True, exist_ok=True)
         found: list[Comparison] = []
         with ThreadPoolExecutor(options.jobs) as pool:
             numbers = range(len(names))
-            plays = pool.map(lambda n: compare(names[n], base, ROOT, scratch, n), numbers)
+            plays = pool.map(lambda n: compare(names[n], base, ROOT, scratch, n, kept), numbers)
             for comparison in plays:
                 report(comparison, options.context)
                 found.append(comparison)
