--- a/src/sandladder/agents/agent_service.py
+++ b/src/sandladder/agents/agent_service.py
@@ -8,16 +8,14 @@
 
 from sandladder import clock
 from sandladder.agents.reconciler import AgentSession
-from sandladder.config.settings import split_addr
-from sandladder.membership.worker_assignment import WorkerAssignment
-from sandladder.model.agents import AgentHeartbeat
-from sandladder.model.jobs import EndedAttempt
+from sandladder.config import split_addr
+from sandladder.membership import WorkerAssignment
+from sandladder.model import AgentHeartbeat, EndedAttempt
 from sandladder.protocol import wire
-from sandladder.transport import peer_transport
-from sandladder.transport.http import HttpError, Request, Requester, Response
+from sandladder.transport import HttpError, Request, Requester, Response, peer_transport
 
 if TYPE_CHECKING:
-    from sandladder.controller.controller import Controller
+    from sandladder.controller import Controller
 
 log = logging.getLogger(__name__)
 
--- a/src/sandladder/agents/lease_expiry.py
+++ b/src/sandladder/agents/lease_expiry.py
@@ -5,7 +5,7 @@
 from collections.abc import Collection, Iterable, Iterator
 from typing import NamedTuple
 
-from sandladder.model.machines import MachineInventory
+from sandladder.model import MachineInventory
 
 
 class _Statement(NamedTuple):
--- a/src/sandladder/agents/lease_renewal_guard.py
+++ b/src/sandladder/agents/lease_renewal_guard.py
@@ -15,8 +15,8 @@
 import math
 from collections.abc import Iterable
 
-from sandladder.config.settings import WorkerSettings
-from sandladder.model.agents import ClockReading
+from sandladder.config import WorkerSettings
+from sandladder.model import ClockReading
 
 
 class _Peer:
--- a/src/sandladder/agents/reconciler.py
+++ b/src/sandladder/agents/reconciler.py
@@ -7,10 +7,8 @@
 import math
 from typing import NamedTuple
 
-from sandladder.model.agents import AgentHeartbeat, Command, ReportedTask
-from sandladder.model.jobs import Attempt, EndedAttempt, Job
-from sandladder.state.cache import StateCache
-from sandladder.state.records import JOB
+from sandladder.model import AgentHeartbeat, Attempt, Command, EndedAttempt, Job, ReportedTask
+from sandladder.state import JOB, StateCache
 
 Key = tuple[str, int, int]  # job, task, attempt
 
--- a/src/sandladder/api/job_api.py
+++ b/src/sandladder/api/job_api.py
@@ -8,20 +8,36 @@
 import msgspec
 
 from sandladder import clock
-from sandladder.jobs.transitions import SubmittedDependencies, cancel, rejection, submit
-from sandladder.model.dependencies import DependencyOutcome
-from sandladder.model.jobs import CANCELLED, DONE, GANG, SERVICE, FinishedJob, Job, JobSpec
-from sandladder.model.schema import SCHEMA_V1, SCHEMA_V2
-from sandladder.peers.peer_service import BUSY, PendingResponse
+from sandladder.jobs import SubmittedDependencies, cancel, rejection, submit
+from sandladder.model import (
+    CANCELLED,
+    DONE,
+    GANG,
+    SCHEMA_V1,
+    SCHEMA_V2,
+    SERVICE,
+    DependencyOutcome,
+    FinishedJob,
+    Job,
+    JobSpec,
+)
+from sandladder.peers import BUSY, PendingResponse
 from sandladder.protocol import wire
-from sandladder.state.errors import PreconditionFailedError, StoreRequestError
-from sandladder.state.group_commit import P_USER, PendingChange
-from sandladder.state.records import FINAL, JOB, job_value, split_value
-from sandladder.state.transaction import Transaction
-from sandladder.transport.http import Request, Response
+from sandladder.state import (
+    FINAL,
+    JOB,
+    P_USER,
+    PendingChange,
+    PreconditionFailedError,
+    StoreRequestError,
+    Transaction,
+    job_value,
+    split_value,
+)
+from sandladder.transport import Request, Response
 
 if TYPE_CHECKING:
-    from sandladder.controller.controller import Controller
+    from sandladder.controller import Controller
 
 log = logging.getLogger(__name__)
 
--- a/src/sandladder/autoscaling/autoscaler.py
+++ b/src/sandladder/autoscaling/autoscaler.py
@@ -10,19 +10,28 @@
 from sandladder import clock
 from sandladder.autoscaling.cloud_client import CloudError, NoCapacityError
 from sandladder.autoscaling.scaling_policy import ScaleOutRequest, ScalingPolicy
-from sandladder.config.settings import split_addr
-from sandladder.model.machines import ListedMachine, Machine
+from sandladder.config import split_addr
+from sandladder.model import ListedMachine, Machine
 from sandladder.protocol import wire
-from sandladder.state.errors import LeaseExpiredError, PreconditionFailedError, StoreRequestError
-from sandladder.state.group_commit import P_USER, P_WORK, PendingChange
-from sandladder.state.instances import change_instances, put_types
-from sandladder.state.records import INSTANCE_RECORD_BYTES, RENTER, machine_number
-from sandladder.state.store_client import LeaseRenewal
-from sandladder.state.transaction import Transaction
-from sandladder.transport.http import HttpError
+from sandladder.state import (
+    INSTANCE_RECORD_BYTES,
+    P_USER,
+    P_WORK,
+    RENTER,
+    LeaseExpiredError,
+    LeaseRenewal,
+    PendingChange,
+    PreconditionFailedError,
+    StoreRequestError,
+    Transaction,
+    change_instances,
+    machine_number,
+    put_types,
+)
+from sandladder.transport import HttpError
 
 if TYPE_CHECKING:
-    from sandladder.controller.controller import Controller
+    from sandladder.controller import Controller
 
 log = logging.getLogger(__name__)
 
--- a/src/sandladder/autoscaling/cloud_client.py
+++ b/src/sandladder/autoscaling/cloud_client.py
@@ -1,10 +1,10 @@
 """The client of the cloud."""
 
 from sandladder.autoscaling.scaling_policy import ScaleOutRequest
-from sandladder.model.machines import ListedMachine, MachineType
+from sandladder.model import ListedMachine, MachineType
 from sandladder.protocol import wire
-from sandladder.state.token_bucket import AdaptiveTokenBucket
-from sandladder.transport.http import HttpError, Requester, Response
+from sandladder.state import AdaptiveTokenBucket
+from sandladder.transport import HttpError, Requester, Response
 
 
 class CloudError(Exception):
--- a/src/sandladder/autoscaling/scaling_policy.py
+++ b/src/sandladder/autoscaling/scaling_policy.py
@@ -9,12 +9,31 @@
 from collections.abc import Collection, Mapping
 from typing import NamedTuple
 
-from sandladder.model.jobs import HIGH, PRODUCTION, SERVICE, Job, JobSpec
-from sandladder.model.machines import ListedMachine, Machine, MachineType
-from sandladder.model.quota import EPSILON, TeamUsage, headroom
-from sandladder.scheduling.bin_packing import Backlog, Bin, Shortage, ZoneShares, fill
-from sandladder.scheduling.cluster_view import SICK_ERRORS, ClusterView, allowed, likeness
-from sandladder.scheduling.premises import FreeCapacity
+from sandladder.model import (
+    EPSILON,
+    HIGH,
+    PRODUCTION,
+    SERVICE,
+    Job,
+    JobSpec,
+    ListedMachine,
+    Machine,
+    MachineType,
+    TeamUsage,
+    headroom,
+)
+from sandladder.scheduling import (
+    SICK_ERRORS,
+    Backlog,
+    Bin,
+    ClusterView,
+    FreeCapacity,
+    Shortage,
+    ZoneShares,
+    allowed,
+    fill,
+    likeness,
+)
 
 log = logging.getLogger(__name__)
 
--- a/src/sandladder/cli.py
+++ b/src/sandladder/cli.py
@@ -12,7 +12,7 @@
 import anyio
 
 from sandladder import __version__
-from sandladder.config.settings import Settings, SettingsError, load
+from sandladder.config import Settings, SettingsError, load
 
 OPERATOR_ENV = "SANDLADDER_OPERATOR"
 _LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
@@ -48,7 +48,7 @@
 
 
 async def _serve(settings: Settings) -> None:
-    from sandladder.controller.controller import Controller
+    from sandladder.controller import Controller
 
     controller = Controller(settings, Random())
 
@@ -65,11 +65,9 @@
 
 
 async def _retire(settings: Settings, node: str) -> str | None:
-    from sandladder.config.settings import split_addr
-    from sandladder.state.errors import StoreRequestError, UnknownOutcomeError
-    from sandladder.state.schema_migration import retire
-    from sandladder.state.store_client import StoreClient
-    from sandladder.transport.http import Client
+    from sandladder.config import split_addr
+    from sandladder.state import StoreClient, StoreRequestError, UnknownOutcomeError, retire
+    from sandladder.transport import Client
 
     if node not in settings.node_names:
         return f"{node} is not named in the settings"
--- a/src/sandladder/controller/controller.py
+++ b/src/sandladder/controller/controller.py
@@ -9,40 +9,50 @@
 from anyio.abc import TaskGroup
 
 from sandladder import clock
-from sandladder.agents.agent_service import AgentService
-from sandladder.agents.lease_expiry import LeaseExpiryProof
-from sandladder.agents.lease_renewal_guard import LeaseRenewalGuard
-from sandladder.agents.reconciler import Reconciler
-from sandladder.api.job_api import JobApi
-from sandladder.autoscaling.autoscaler import Autoscaler
-from sandladder.autoscaling.cloud_client import CloudClient
+from sandladder.agents import AgentService, LeaseExpiryProof, LeaseRenewalGuard, Reconciler
+from sandladder.api import JobApi
+from sandladder.autoscaling import Autoscaler, CloudClient
 from sandladder.concurrency import Signal
-from sandladder.config.settings import Settings, split_addr
-from sandladder.jobs.dependency_resolver import DependencyResolver
-from sandladder.jobs.job_committer import JobCommitter
-from sandladder.jobs.transitions import stop
-from sandladder.membership.controller_lease import ControllerLease
-from sandladder.membership.failure_detector import FailureDetector
-from sandladder.membership.policy import MembershipPolicy
-from sandladder.membership.service import MembershipService
-from sandladder.model.jobs import HIGH, LOW, Job
-from sandladder.peers.peer_service import PeerService
+from sandladder.config import Settings, split_addr
+from sandladder.jobs import DependencyResolver, JobCommitter, stop
+from sandladder.membership import (
+    ControllerLease,
+    FailureDetector,
+    MembershipPolicy,
+    MembershipService,
+)
+from sandladder.model import HIGH, LOW, Job
+from sandladder.peers import PeerService
 from sandladder.protocol import wire
-from sandladder.scheduling.cluster_view import ClusterView
-from sandladder.scheduling.planner import Planner
-from sandladder.scheduling.preemption import PreemptionPolicy, PreemptionVictim
-from sandladder.scheduling.premises import Gate, Outcome, Resource
-from sandladder.state.cache import StateCache
-from sandladder.state.errors import PreconditionFailedError
-from sandladder.state.group_commit import P_WORK, GroupCommitter, PendingChange
-from sandladder.state.records import FINAL, INSTANCE, JOB, NODE, ROSTER, TEAM, TYPES
-from sandladder.state.schema_migration import SchemaMigration
-from sandladder.state.store_client import StoreClient
-from sandladder.state.store_limits import StoreLimits
-from sandladder.state.transaction import Transaction
-from sandladder.state.watch import StoreWatch
-from sandladder.transport import peer_transport
-from sandladder.transport.http import Client, Connect, Server
+from sandladder.scheduling import (
+    ClusterView,
+    Gate,
+    Outcome,
+    Planner,
+    PreemptionPolicy,
+    PreemptionVictim,
+    Resource,
+)
+from sandladder.state import (
+    FINAL,
+    INSTANCE,
+    JOB,
+    NODE,
+    P_WORK,
+    ROSTER,
+    TEAM,
+    TYPES,
+    GroupCommitter,
+    PendingChange,
+    PreconditionFailedError,
+    SchemaMigration,
+    StateCache,
+    StoreClient,
+    StoreLimits,
+    StoreWatch,
+    Transaction,
+)
+from sandladder.transport import Client, Connect, Server, peer_transport
 
 log = logging.getLogger(__name__)
 
--- a/src/sandladder/jobs/dependency_resolver.py
+++ b/src/sandladder/jobs/dependency_resolver.py
@@ -8,14 +8,19 @@
 from sandladder import clock
 from sandladder.concurrency import Signal
 from sandladder.jobs.transitions import cancel
-from sandladder.model.jobs import FinishedJob
-from sandladder.state.errors import PreconditionFailedError, StoreRequestError
-from sandladder.state.group_commit import P_USER, PendingChange
-from sandladder.state.records import FINAL, read_finished_job
-from sandladder.state.transaction import Transaction
+from sandladder.model import FinishedJob
+from sandladder.state import (
+    FINAL,
+    P_USER,
+    PendingChange,
+    PreconditionFailedError,
+    StoreRequestError,
+    Transaction,
+    read_finished_job,
+)
 
 if TYPE_CHECKING:
-    from sandladder.controller.controller import Controller
+    from sandladder.controller import Controller
 
 log = logging.getLogger(__name__)
 
--- a/src/sandladder/jobs/job_committer.py
+++ b/src/sandladder/jobs/job_committer.py
@@ -13,17 +13,22 @@
 
 from sandladder import clock
 from sandladder.jobs.transitions import archive_job, end, settle, start
-from sandladder.model.jobs import ARRAY, HIGH, EndedAttempt
-from sandladder.model.quota import TeamUsage, headroom, nearly_used_up
-from sandladder.scheduling.premises import Outcome, PendingStart
-from sandladder.state.errors import PreconditionFailedError
-from sandladder.state.group_commit import P_IDLE, P_START, P_WORK, PendingChange, work_priority
-from sandladder.state.records import JOB
-from sandladder.state.transaction import Transaction
+from sandladder.model import ARRAY, HIGH, EndedAttempt, TeamUsage, headroom, nearly_used_up
+from sandladder.scheduling import Outcome, PendingStart
+from sandladder.state import (
+    JOB,
+    P_IDLE,
+    P_START,
+    P_WORK,
+    PendingChange,
+    PreconditionFailedError,
+    Transaction,
+    work_priority,
+)
 from sandladder.transport import peer_transport
 
 if TYPE_CHECKING:
-    from sandladder.controller.controller import Controller
+    from sandladder.controller import Controller
 
 log = logging.getLogger(__name__)
 
--- a/src/sandladder/jobs/transitions.py
+++ b/src/sandladder/jobs/transitions.py
@@ -7,9 +7,9 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from sandladder.config.settings import TeamLimits
-from sandladder.membership.roster import may_place
-from sandladder.model.jobs import (
+from sandladder.config import TeamLimits
+from sandladder.membership import may_place
+from sandladder.model import (
     CANCELLED,
     DONE,
     GANG,
@@ -19,20 +19,21 @@
     FinishedJob,
     Job,
     JobSpec,
+    MachineType,
     Placement,
+    TeamAssignment,
+    TeamUsage,
+    headroom,
     zones_allowed,
 )
-from sandladder.model.machines import MachineType
-from sandladder.model.membership import TeamAssignment
-from sandladder.model.quota import TeamUsage, headroom
-from sandladder.state.errors import PreconditionFailedError
-from sandladder.state.records import (
+from sandladder.state import (
     FINAL,
     JOB,
     TEAM,
+    PreconditionFailedError,
+    Transaction,
     finished_job_value,
 )
-from sandladder.state.transaction import Transaction
 
 
 class SubmittedDependencies(NamedTuple):
--- a/src/sandladder/membership/controller_lease.py
+++ b/src/sandladder/membership/controller_lease.py
@@ -7,25 +7,29 @@
 
 from sandladder import clock
 from sandladder.concurrency import Signal
-from sandladder.model.machines import MachineInventory, MachineStatus
-from sandladder.model.schema import SCHEMA_V1, SCHEMA_V2
+from sandladder.model import SCHEMA_V1, SCHEMA_V2, MachineInventory, MachineStatus
 from sandladder.protocol import wire
-from sandladder.state.errors import LeaseExpiredError, PreconditionFailedError, StoreRequestError
-from sandladder.state.group_commit import P_HOLD, P_USER, PendingChange
-from sandladder.state.inventory import inventory_changes, put_inventory
-from sandladder.state.records import (
+from sandladder.state import (
+    P_HOLD,
+    P_USER,
     SCHEMA_VERSION_KEY,
     TERM,
     TYPES,
+    LeaseExpiredError,
+    LeaseRenewal,
+    PendingChange,
+    PreconditionFailedError,
+    StoreRequestError,
+    Transaction,
+    fresh,
+    inventory_changes,
+    put_inventory,
     schema_version_value,
     stamp_parts,
 )
-from sandladder.state.schema_migration import fresh
-from sandladder.state.store_client import LeaseRenewal
-from sandladder.state.transaction import Transaction
 
 if TYPE_CHECKING:
-    from sandladder.controller.controller import Controller
+    from sandladder.controller import Controller
 
 log = logging.getLogger(__name__)
 
--- a/src/sandladder/membership/policy.py
+++ b/src/sandladder/membership/policy.py
@@ -13,10 +13,8 @@
 from sandladder.membership import roster
 from sandladder.membership.failure_detector import FailureDetector, HealthAssessment, HealthLevel
 from sandladder.membership.roster import RosterRecords, RosterTransition, homes, rightful, settle_s
-from sandladder.model.membership import IN, OUT, SUSPECT, Member, TeamAssignment
-from sandladder.model.schema import SCHEMA_V1
-from sandladder.state.cache import StateCache
-from sandladder.state.records import ROSTER
+from sandladder.model import IN, OUT, SCHEMA_V1, SUSPECT, Member, TeamAssignment
+from sandladder.state import ROSTER, StateCache
 
 log = logging.getLogger(__name__)
 
--- a/src/sandladder/membership/roster.py
+++ b/src/sandladder/membership/roster.py
@@ -15,11 +15,15 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-from sandladder.model.membership import IN, OUT, SUSPECT, Member, TeamAssignment
-from sandladder.state.cache import StateCache
-from sandladder.state.errors import PreconditionFailedError
-from sandladder.state.records import ROSTER, TEAM, assignment_value
-from sandladder.state.transaction import Transaction
+from sandladder.model import IN, OUT, SUSPECT, Member, TeamAssignment
+from sandladder.state import (
+    ROSTER,
+    TEAM,
+    PreconditionFailedError,
+    StateCache,
+    Transaction,
+    assignment_value,
+)
 
 # A flap is forgotten after so many times the settling time without another.
 _FORGIVEN = 16
--- a/src/sandladder/membership/service.py
+++ b/src/sandladder/membership/service.py
@@ -13,13 +13,17 @@
 from sandladder.membership.policy import MembershipChange, MembershipPolicy
 from sandladder.membership.roster import RosterRecords
 from sandladder.membership.worker_assignment import WorkerLoad
-from sandladder.model.machines import MachineInventory
-from sandladder.model.membership import IN, SUSPECT, Member, TeamAssignment
-from sandladder.state.cache import StateCache
-from sandladder.state.errors import LeaseExpiredError, PreconditionFailedError
-from sandladder.state.group_commit import P_HOLD, GroupCommitter, PendingChange
-from sandladder.state.store_limits import StoreLimits
-from sandladder.state.transaction import Transaction
+from sandladder.model import IN, SUSPECT, MachineInventory, Member, TeamAssignment
+from sandladder.state import (
+    P_HOLD,
+    GroupCommitter,
+    LeaseExpiredError,
+    PendingChange,
+    PreconditionFailedError,
+    StateCache,
+    StoreLimits,
+    Transaction,
+)
 
 log = logging.getLogger(__name__)
 
--- a/src/sandladder/model/quota.py
+++ b/src/sandladder/model/quota.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from sandladder.config.settings import TeamLimits
+from sandladder.config import TeamLimits
 from sandladder.model.jobs import JobSpec
 
 # Room for rounding when amounts that are decimal numbers are added up.
--- a/src/sandladder/peers/peer_service.py
+++ b/src/sandladder/peers/peer_service.py
@@ -6,17 +6,13 @@
 import anyio
 
 from sandladder import clock
-from sandladder.membership.failure_detector import PeerStatus
-from sandladder.membership.roster import may_place
-from sandladder.model.agents import ClockReading
-from sandladder.model.jobs import Attempt, EndedAttempt
-from sandladder.model.schema import SCHEMA_V1, SCHEMA_V2
+from sandladder.membership import PeerStatus, may_place
+from sandladder.model import SCHEMA_V1, SCHEMA_V2, Attempt, ClockReading, EndedAttempt
 from sandladder.protocol import wire
-from sandladder.transport import peer_transport
-from sandladder.transport.http import Request, Response
+from sandladder.transport import Request, Response, peer_transport
 
 if TYPE_CHECKING:
-    from sandladder.controller.controller import Controller
+    from sandladder.controller import Controller
 
 log = logging.getLogger(__name__)
 
--- a/src/sandladder/protocol/wire.py
+++ b/src/sandladder/protocol/wire.py
@@ -11,9 +11,19 @@
 
 import cbor2
 
-from sandladder.model.agents import AgentHeartbeat, Command, ReportedTask
-from sandladder.model.jobs import CANCELLED, DONE, GANG, PENDING, RUNNING, JobSpec
-from sandladder.model.machines import ListedMachine, MachineType
+from sandladder.model import (
+    CANCELLED,
+    DONE,
+    GANG,
+    PENDING,
+    RUNNING,
+    AgentHeartbeat,
+    Command,
+    JobSpec,
+    ListedMachine,
+    MachineType,
+    ReportedTask,
+)
 
 JOBS = "/work"
 HEALTH = "/healthz"
--- a/src/sandladder/scheduling/bin_packing.py
+++ b/src/sandladder/scheduling/bin_packing.py
@@ -6,9 +6,7 @@
 from collections import Counter
 from typing import NamedTuple
 
-from sandladder.model.jobs import Job, JobSpec
-from sandladder.model.machines import Machine, MachineType
-from sandladder.model.quota import EPSILON
+from sandladder.model import EPSILON, Job, JobSpec, Machine, MachineType
 from sandladder.scheduling.cluster_view import allowed
 
 
--- a/src/sandladder/scheduling/cluster_view.py
+++ b/src/sandladder/scheduling/cluster_view.py
@@ -10,25 +10,29 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from sandladder.agents.lease_expiry import LeaseExpiryProof
-from sandladder.agents.reconciler import AgentSession, Reconciler
-from sandladder.config.settings import Settings
-from sandladder.model.dependencies import SchedulingPriority
-from sandladder.model.jobs import (
+from sandladder.agents import AgentSession, LeaseExpiryProof, Reconciler
+from sandladder.config import Settings
+from sandladder.model import (
     ARRAY,
     SERVICE,
     Attempt,
     EndedAttempt,
     FinishedJob,
+    Headroom,
     Job,
     JobSpec,
+    Machine,
+    MachineInventory,
+    MachineStatus,
+    MachineType,
     Placement,
+    SchedulingPriority,
+    TeamUsage,
+    headroom,
+    within_guarantee,
 )
-from sandladder.model.machines import Machine, MachineInventory, MachineStatus, MachineType
-from sandladder.model.quota import Headroom, TeamUsage, headroom, within_guarantee
 from sandladder.scheduling.premises import FreeCapacity, Gate, Resource
-from sandladder.state.cache import StateCache
-from sandladder.state.records import JOB, TEAM
+from sandladder.state import JOB, TEAM, StateCache
 
 # A machine on which so many different jobs failed in a row is not trusted with more.  One
 # job alone proves nothing: it may fail everywhere.
--- a/src/sandladder/scheduling/planner.py
+++ b/src/sandladder/scheduling/planner.py
@@ -13,8 +13,7 @@
 
 import msgspec
 
-from sandladder.model.jobs import GANG, HIGH, LOW, SERVICE, Job, JobSpec, Placement
-from sandladder.model.quota import TeamUsage
+from sandladder.model import GANG, HIGH, LOW, SERVICE, Job, JobSpec, Placement, TeamUsage
 from sandladder.scheduling.cluster_view import (
     ClusterView,
     allowed,
@@ -25,7 +24,7 @@
 )
 from sandladder.scheduling.premises import FreeCapacity, PendingStart
 from sandladder.scheduling.reservation import Reservation
-from sandladder.state.store_limits import StoreLimits
+from sandladder.state import StoreLimits
 
 # The share of the time to start within that a task waits for a machine with its image.
 _INSIST = 0.7
--- a/src/sandladder/scheduling/preemption.py
+++ b/src/sandladder/scheduling/preemption.py
@@ -6,8 +6,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from sandladder.model.jobs import ARRAY, GANG, PRODUCTION, SERVICE, Job, zones_allowed
-from sandladder.model.quota import TeamUsage
+from sandladder.model import ARRAY, GANG, PRODUCTION, SERVICE, Job, TeamUsage, zones_allowed
 from sandladder.scheduling.cluster_view import allowed, fits, holds, less
 from sandladder.scheduling.planner import Planner
 from sandladder.scheduling.premises import FreeCapacity
--- a/src/sandladder/scheduling/premises.py
+++ b/src/sandladder/scheduling/premises.py
@@ -10,8 +10,16 @@
 from collections.abc import Callable, Iterable
 from typing import NamedTuple, Protocol
 
-from sandladder.model.jobs import DONE, FinishedJob, Job, JobSpec, Placement, zones_allowed
-from sandladder.model.quota import EPSILON, Headroom
+from sandladder.model import (
+    DONE,
+    EPSILON,
+    FinishedJob,
+    Headroom,
+    Job,
+    JobSpec,
+    Placement,
+    zones_allowed,
+)
 
 Resource = tuple[str, str]  # kind ("machine", "task", "job", "team") and name
 
--- a/src/sandladder/scheduling/reservation.py
+++ b/src/sandladder/scheduling/reservation.py
@@ -12,8 +12,7 @@
 from collections import Counter
 from typing import NamedTuple
 
-from sandladder.model.jobs import GANG, HIGH, SERVICE, Job, JobSpec
-from sandladder.model.machines import MachineType
+from sandladder.model import GANG, HIGH, SERVICE, Job, JobSpec, MachineType
 from sandladder.scheduling.cluster_view import AGED_LEASES, ClusterView, allowed
 from sandladder.scheduling.premises import FreeCapacity
 
--- a/src/sandladder/state/cache.py
+++ b/src/sandladder/state/cache.py
@@ -7,12 +7,20 @@
 
 import msgspec
 
-from sandladder.model.dependencies import DependencyIndex
-from sandladder.model.jobs import CANCELLED, Attempt, FinishedJob, Job
-from sandladder.model.machines import Machine, MachineInventory, MachineType
-from sandladder.model.membership import Member, TeamAssignment
-from sandladder.model.quota import TeamUsage
-from sandladder.model.schema import SCHEMA_V1
+from sandladder.model import (
+    CANCELLED,
+    SCHEMA_V1,
+    Attempt,
+    DependencyIndex,
+    FinishedJob,
+    Job,
+    Machine,
+    MachineInventory,
+    MachineType,
+    Member,
+    TeamAssignment,
+    TeamUsage,
+)
 from sandladder.state.records import (
     EXTRA,
     FINAL,
--- a/src/sandladder/state/group_commit.py
+++ b/src/sandladder/state/group_commit.py
@@ -13,8 +13,8 @@
 
 from sandladder import clock
 from sandladder.concurrency import Signal
-from sandladder.config.settings import LEAST_TXN_OPS
-from sandladder.model.jobs import PRODUCTION
+from sandladder.config import LEAST_TXN_OPS
+from sandladder.model import PRODUCTION
 from sandladder.protocol import wire
 from sandladder.state.cache import StateCache
 from sandladder.state.errors import (
--- a/src/sandladder/state/instances.py
+++ b/src/sandladder/state/instances.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from sandladder.model.machines import Machine, MachineType
+from sandladder.model import Machine, MachineType
 from sandladder.state.errors import PreconditionFailedError
 from sandladder.state.records import INSTANCE, RENTER, TYPES, instances_value, machine_number
 from sandladder.state.transaction import Transaction
--- a/src/sandladder/state/inventory.py
+++ b/src/sandladder/state/inventory.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from sandladder.model.machines import MachineInventory
+from sandladder.model import MachineInventory
 from sandladder.state.records import NODE, extra_key, fold_inventory, pack_inventory
 from sandladder.state.transaction import Transaction
 
--- a/src/sandladder/state/records.py
+++ b/src/sandladder/state/records.py
@@ -10,11 +10,23 @@
 
 import msgspec
 
-from sandladder.model.jobs import ARRAY, CANCELLED, DONE, Attempt, FinishedJob, Job, JobSpec, Ranges
-from sandladder.model.machines import Machine, MachineInventory, MachineStatus
-from sandladder.model.membership import TeamAssignment
-from sandladder.model.quota import TeamUsage
-from sandladder.model.schema import SCHEMA_V1, SCHEMA_V2
+from sandladder.model import (
+    ARRAY,
+    CANCELLED,
+    DONE,
+    SCHEMA_V1,
+    SCHEMA_V2,
+    Attempt,
+    FinishedJob,
+    Job,
+    JobSpec,
+    Machine,
+    MachineInventory,
+    MachineStatus,
+    Ranges,
+    TeamAssignment,
+    TeamUsage,
+)
 
 ROOT = "s/"
 JOB, FINAL, TEAM, NODE, INSTANCE = "s/j/", "s/f/", "s/t/", "s/p/", "s/v/"
--- a/src/sandladder/state/schema_migration.py
+++ b/src/sandladder/state/schema_migration.py
@@ -13,7 +13,7 @@
 import anyio
 import msgspec
 
-from sandladder.model.schema import SCHEMA_V1, SCHEMA_V2
+from sandladder.model import SCHEMA_V1, SCHEMA_V2
 from sandladder.protocol import wire
 from sandladder.state.cache import StateCache
 from sandladder.state.errors import ConflictError, PreconditionFailedError
@@ -34,7 +34,7 @@
 from sandladder.state.transaction import Transaction
 
 if TYPE_CHECKING:
-    from sandladder.controller.controller import Controller
+    from sandladder.controller import Controller
 
 log = logging.getLogger(__name__)
 
--- a/src/sandladder/state/store_client.py
+++ b/src/sandladder/state/store_client.py
@@ -3,7 +3,7 @@
 from typing import Any, NamedTuple
 
 from sandladder import clock
-from sandladder.config.settings import State
+from sandladder.config import State
 from sandladder.protocol import wire
 from sandladder.state.errors import (
     ConflictError,
@@ -15,7 +15,7 @@
 )
 from sandladder.state.records import ROOT
 from sandladder.state.token_bucket import AdaptiveTokenBucket
-from sandladder.transport.http import HttpError, Requester, Response
+from sandladder.transport import HttpError, Requester, Response
 
 
 class StoreClient:
--- a/src/sandladder/state/store_limits.py
+++ b/src/sandladder/state/store_limits.py
@@ -5,8 +5,8 @@
 after a while the settings are trusted again.  Pure.
 """
 
-from sandladder.config.settings import LEAST_TXN_OPS, State
-from sandladder.model.schema import SCHEMA_V1
+from sandladder.config import LEAST_TXN_OPS, State
+from sandladder.model import SCHEMA_V1
 from sandladder.state.cache import StateCache
 
 # Room for the key and the braces around a value.
--- a/src/sandladder/state/transaction.py
+++ b/src/sandladder/state/transaction.py
@@ -7,10 +7,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from sandladder.model.jobs import FinishedJob, Job
-from sandladder.model.machines import Machine
-from sandladder.model.quota import TeamUsage
-from sandladder.model.schema import SCHEMA_V1
+from sandladder.model import SCHEMA_V1, FinishedJob, Job, Machine, TeamUsage
 from sandladder.state.cache import StateCache
 from sandladder.state.records import (
     FINAL,
--- a/src/sandladder/transport/peer_transport.py
+++ b/src/sandladder/transport/peer_transport.py
@@ -15,10 +15,8 @@
 
 from sandladder import clock
 from sandladder.concurrency import Signal
-from sandladder.config.settings import Peer, split_addr
-from sandladder.model.agents import ClockReading
-from sandladder.model.machines import MachineStatus
-from sandladder.model.schema import SCHEMA_V1
+from sandladder.config import Peer, split_addr
+from sandladder.model import SCHEMA_V1, ClockReading, MachineStatus
 
 log = logging.getLogger(__name__)
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -5,21 +5,13 @@
 import cbor2
 import msgspec
 
-from sandladder.agents.lease_expiry import LeaseExpiryProof
-from sandladder.agents.reconciler import Reconciler
-from sandladder.config.settings import Settings, TeamLimits
-from sandladder.jobs.transitions import start, submit
-from sandladder.model.agents import AgentHeartbeat
-from sandladder.model.jobs import Job
-from sandladder.model.machines import MachineInventory, MachineStatus, MachineType
+from sandladder.agents import LeaseExpiryProof, Reconciler
+from sandladder.config import Settings, TeamLimits
+from sandladder.jobs import start, submit
+from sandladder.model import AgentHeartbeat, Job, MachineInventory, MachineStatus, MachineType
 from sandladder.protocol import wire
-from sandladder.scheduling.cluster_view import ClusterView
-from sandladder.scheduling.planner import Planner
-from sandladder.scheduling.premises import Gate
-from sandladder.state.cache import StateCache
-from sandladder.state.records import FINAL
-from sandladder.state.store_limits import StoreLimits
-from sandladder.state.transaction import Transaction
+from sandladder.scheduling import ClusterView, Gate, Planner
+from sandladder.state import FINAL, StateCache, StoreLimits, Transaction
 from world import job, settings
 
 LIMITS = TeamLimits("red", 16.0, 48.0, 2.0, 4.0)
--- a/tests/membership/fleet.py
+++ b/tests/membership/fleet.py
@@ -8,24 +8,27 @@
 from random import Random
 from typing import Any
 
-from sandladder.membership import roster
-from sandladder.membership.failure_detector import FailureDetector, PeerStatus
-from sandladder.membership.policy import MembershipChange, MembershipPolicy
-from sandladder.model.machines import MachineInventory
-from sandladder.model.membership import Member, TeamAssignment
-from sandladder.model.schema import SCHEMA_V2
-from sandladder.state.cache import StateCache
-from sandladder.state.errors import PreconditionFailedError
-from sandladder.state.inventory import inventory_changes, put_inventory
-from sandladder.state.records import (
+from sandladder.membership import (
+    FailureDetector,
+    MembershipChange,
+    MembershipPolicy,
+    PeerStatus,
+    roster,
+)
+from sandladder.model import SCHEMA_V2, MachineInventory, Member, TeamAssignment
+from sandladder.state import (
     NODE,
     SCHEMA_VERSION_KEY,
     TEAM,
     TERM,
+    PreconditionFailedError,
+    StateCache,
+    Transaction,
+    inventory_changes,
+    put_inventory,
     read_team,
     schema_version_value,
 )
-from sandladder.state.transaction import Transaction
 
 REPORT, BEAT, HOLD, STEP, RESTART = 2.4, 0.4, 24.0, 0.1, 3.0
 
--- a/tests/membership/test_grading_and_spread.py
+++ b/tests/membership/test_grading_and_spread.py
@@ -5,9 +5,15 @@
 
 import pytest
 
-from sandladder.membership.failure_detector import FailureDetector, HealthLevel, PeerStatus
-from sandladder.membership.phi_accrual import MOST_PHI, PhiAccrualWindow
-from sandladder.membership.worker_assignment import WorkerAssignment, WorkerLoad
+from sandladder.membership import (
+    MOST_PHI,
+    FailureDetector,
+    HealthLevel,
+    PeerStatus,
+    PhiAccrualWindow,
+    WorkerAssignment,
+    WorkerLoad,
+)
 
 BEAT, REPORT, LEASE = 0.4, 2.4, 15.0
 
--- a/tests/membership/test_handover.py
+++ b/tests/membership/test_handover.py
@@ -8,7 +8,7 @@
 import pytest
 from fleet import HOLD, REPORT, Fleet
 
-from sandladder.model.membership import IN
+from sandladder.model import IN
 
 PAIRS = list(itertools.combinations(range(3), 2))
 
--- a/tests/membership/test_roster_model.py
+++ b/tests/membership/test_roster_model.py
@@ -11,10 +11,9 @@
 
 import pytest
 
-from sandladder.membership import roster
-from sandladder.membership.roster import RosterRecords, RosterTransition
-from sandladder.model.membership import IN, OUT, SUSPECT, Member, TeamAssignment
-from sandladder.state.errors import PreconditionFailedError
+from sandladder.membership import RosterRecords, RosterTransition, roster
+from sandladder.model import IN, OUT, SUSPECT, Member, TeamAssignment
+from sandladder.state import PreconditionFailedError
 
 TEAM, LIMIT, NODES = "red", 1, ("a", "b", "c")
 DEPTH, FAULTS = 6, 2
--- a/tests/membership/test_under_way.py
+++ b/tests/membership/test_under_way.py
@@ -11,7 +11,7 @@
 import pytest
 
 from days import warm
-from sandladder.transport.http import Request
+from sandladder.transport import Request
 from world import World, job, now, run
 
 # Whether a request is the point at which its source, or else its target, ends.
--- a/tests/test_cancelled.py
+++ b/tests/test_cancelled.py
@@ -22,8 +22,8 @@
     until,
     up,
 )
-from sandladder.model.membership import SUSPECT
-from sandladder.state.records import ROSTER
+from sandladder.model import SUSPECT
+from sandladder.state import ROSTER
 from world import REPORT_S, Worker, World, job, now
 
 LONG_S = 500.0
--- a/tests/test_delivery.py
+++ b/tests/test_delivery.py
@@ -1,13 +1,10 @@
 """Reports in, orders and ends out."""
 
 from helpers import LIMITS, accept, commit
-from sandladder.agents.lease_renewal_guard import LeaseRenewalGuard
-from sandladder.agents.reconciler import Reconciler
-from sandladder.jobs.transitions import start
-from sandladder.model.agents import AgentHeartbeat, Command, ReportedTask
-from sandladder.model.jobs import Attempt, EndedAttempt, Placement
-from sandladder.state.cache import StateCache
-from sandladder.state.transaction import Transaction
+from sandladder.agents import LeaseRenewalGuard, Reconciler
+from sandladder.jobs import start
+from sandladder.model import AgentHeartbeat, Attempt, Command, EndedAttempt, Placement, ReportedTask
+from sandladder.state import StateCache, Transaction
 from world import settings
 
 
--- a/tests/test_fence_model.py
+++ b/tests/test_fence_model.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from sandladder.agents.lease_renewal_guard import LeaseRenewalGuard
-from sandladder.config.settings import WorkerSettings
-from sandladder.model.agents import ClockReading
+from sandladder.agents import LeaseRenewalGuard
+from sandladder.config import WorkerSettings
+from sandladder.model import ClockReading
 
 LEASE, CANCEL, LAST = 1, 2, 3
 OTHERS = ("b", "c")
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -4,7 +4,7 @@
 
 import anyio
 
-from sandladder.transport.http import Client, Request, Response, Server
+from sandladder.transport import Client, Request, Response, Server
 
 
 async def echo(request: Request) -> Response:
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -5,13 +5,10 @@
 import pytest
 
 from helpers import LIMITS, accept, commit, spec, started_gang
-from sandladder.agents.lease_expiry import LeaseExpiryProof
-from sandladder.jobs.transitions import cancel, end, start, submit
-from sandladder.model.jobs import EndedAttempt, Placement
-from sandladder.model.machines import MachineInventory, MachineStatus
-from sandladder.state.cache import StateCache
-from sandladder.state.errors import PreconditionFailedError
-from sandladder.state.transaction import Transaction
+from sandladder.agents import LeaseExpiryProof
+from sandladder.jobs import cancel, end, start, submit
+from sandladder.model import EndedAttempt, MachineInventory, MachineStatus, Placement
+from sandladder.state import PreconditionFailedError, StateCache, Transaction
 
 
 def test_a_cancelled_job_is_final_only_when_its_last_attempt_has_ended() -> None:
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -8,24 +8,20 @@
 
 from days import Trouble, crashes, cuts, everything, machines, outage, pipeline, submit_all, warm
 from helpers import LIMITS, accept, commit, scene, spec
-from sandladder.jobs.transitions import (
-    SubmittedDependencies,
-    archive_job,
-    cancel,
-    end,
-    start,
-    submit,
+from sandladder.jobs import SubmittedDependencies, archive_job, cancel, end, start, submit
+from sandladder.model import (
+    SCHEMA_V2,
+    DependencyOutcome,
+    EndedAttempt,
+    FinishedJob,
+    Job,
+    Placement,
+    SchedulingPriority,
+    TeamAssignment,
 )
-from sandladder.model.dependencies import DependencyOutcome, SchedulingPriority
-from sandladder.model.jobs import EndedAttempt, FinishedJob, Job, Placement
-from sandladder.model.membership import TeamAssignment
-from sandladder.model.schema import SCHEMA_V2
 from sandladder.protocol import wire
-from sandladder.scheduling.premises import Outcome
-from sandladder.state.cache import StateCache
-from sandladder.state.errors import PreconditionFailedError
-from sandladder.state.records import job_value, load_job
-from sandladder.state.transaction import Transaction
+from sandladder.scheduling import Outcome
+from sandladder.state import PreconditionFailedError, StateCache, Transaction, job_value, load_job
 from world import World, job, now, run
 
 ME = TeamAssignment("node-0", 1)
@@ -196,7 +192,7 @@
 
 
 def test_waiting_jobs_are_no_backlog_and_nobody_rents_for_them() -> None:
-    from sandladder.autoscaling.scaling_policy import ScalingPolicy
+    from sandladder.autoscaling import ScalingPolicy
 
     cluster_view, planner, cache, _ = scene()
     world_of(cache)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -4,16 +4,20 @@
 from typing import Any
 
 from helpers import LIMITS, accept, commit, scene
-from sandladder.autoscaling.scaling_policy import ScalingPolicy
-from sandladder.config.settings import TeamLimits
-from sandladder.jobs.transitions import end, start
-from sandladder.model.agents import AgentHeartbeat
-from sandladder.model.jobs import EndedAttempt, JobSpec, Placement, Ranges
-from sandladder.model.machines import Machine, MachineStatus
-from sandladder.scheduling.cluster_view import ClusterView
-from sandladder.scheduling.preemption import PreemptionPolicy
-from sandladder.scheduling.reservation import Reservation
-from sandladder.state.transaction import Transaction
+from sandladder.autoscaling import ScalingPolicy
+from sandladder.config import TeamLimits
+from sandladder.jobs import end, start
+from sandladder.model import (
+    AgentHeartbeat,
+    EndedAttempt,
+    JobSpec,
+    Machine,
+    MachineStatus,
+    Placement,
+    Ranges,
+)
+from sandladder.scheduling import ClusterView, PreemptionPolicy, Reservation
+from sandladder.state import Transaction
 
 
 def test_room_of_a_proved_end_is_free_before_it_is_committed() -> None:
--- a/tests/test_premises.py
+++ b/tests/test_premises.py
@@ -1,10 +1,10 @@
 """The gate: selective checks, the worst outcome wins, fail closed."""
 
 from helpers import LIMITS, accept, commit, scene
-from sandladder.jobs.transitions import start
-from sandladder.model.jobs import Placement
-from sandladder.scheduling.premises import Outcome, PendingStart
-from sandladder.state.transaction import Transaction
+from sandladder.jobs import start
+from sandladder.model import Placement
+from sandladder.scheduling import Outcome, PendingStart
+from sandladder.state import Transaction
 
 
 def test_the_gate_rechecks_only_what_a_change_reaches_and_the_worst_wins() -> None:
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -10,12 +10,10 @@
 from days import warm
 from helpers import commit, scene, spec
 from meeting import play, until
-from sandladder.config.settings import TeamLimits
-from sandladder.jobs.transitions import rejection, start, submit
-from sandladder.model.jobs import Placement
-from sandladder.model.quota import NOTHING, TeamUsage, headroom, within_guarantee
-from sandladder.state.errors import PreconditionFailedError
-from sandladder.state.transaction import Transaction
+from sandladder.config import TeamLimits
+from sandladder.jobs import rejection, start, submit
+from sandladder.model import NOTHING, Placement, TeamUsage, headroom, within_guarantee
+from sandladder.state import PreconditionFailedError, Transaction
 from world import TODAY, World, job
 
 GPUS_ALONE = TeamLimits("red", gpus=2.0, gpus_max=4.0)
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -7,23 +7,30 @@
 import pytest
 
 from helpers import LIMITS, accept, commit, inventory, scene, spec
-from sandladder.jobs.transitions import end, start, submit
-from sandladder.model.jobs import Attempt, EndedAttempt, Job, Placement, Ranges
-from sandladder.model.machines import Machine
-from sandladder.model.schema import SCHEMA_V1, SCHEMA_V2
-from sandladder.state.cache import StateCache
-from sandladder.state.errors import PreconditionFailedError
-from sandladder.state.instances import change_instances
-from sandladder.state.records import (
+from sandladder.jobs import end, start, submit
+from sandladder.model import (
+    SCHEMA_V1,
+    SCHEMA_V2,
+    Attempt,
+    EndedAttempt,
+    Job,
+    Machine,
+    Placement,
+    Ranges,
+)
+from sandladder.state import (
     JOB,
     NODE,
     TEAM,
+    PreconditionFailedError,
+    StateCache,
+    Transaction,
+    change_instances,
     job_value,
     load_job,
     pack_inventory,
     split_value,
 )
-from sandladder.state.transaction import Transaction
 
 
 def test_ranges_are_a_set() -> None:
--- a/tests/test_renting.py
+++ b/tests/test_renting.py
@@ -7,13 +7,11 @@
 import pytest
 
 from helpers import accept, scene
-from sandladder.autoscaling.cloud_client import CloudClient, CloudError
-from sandladder.autoscaling.scaling_policy import ScalingPolicy
-from sandladder.config.settings import TeamLimits
-from sandladder.model.agents import AgentHeartbeat
-from sandladder.model.machines import Machine, MachineType
-from sandladder.scheduling.cluster_view import ClusterView
-from sandladder.transport.http import Response
+from sandladder.autoscaling import CloudClient, CloudError, ScalingPolicy
+from sandladder.config import TeamLimits
+from sandladder.model import AgentHeartbeat, Machine, MachineType
+from sandladder.scheduling import ClusterView
+from sandladder.transport import Response
 from world import VirtualLoop
 
 GPU_TYPE = MachineType("gpu", 12.0, 2.0, 48.0, 20.0, 1.0, 5.0, 1.0, 9.0, ("north", "south"))
--- a/tests/test_samples.py
+++ b/tests/test_samples.py
@@ -12,14 +12,23 @@
 import production
 import samples
 from helpers import LIMITS, commit
-from sandladder.jobs.transitions import end, start
-from sandladder.model.jobs import EndedAttempt, FinishedJob, Job, Placement
-from sandladder.model.machines import Machine, MachineInventory, MachineStatus
-from sandladder.model.quota import TeamUsage
-from sandladder.model.schema import SCHEMA_V1, SCHEMA_V2
-from sandladder.state.cache import StateCache
-from sandladder.state.records import (
+from sandladder.jobs import end, start
+from sandladder.model import (
+    SCHEMA_V1,
+    SCHEMA_V2,
+    EndedAttempt,
+    FinishedJob,
+    Job,
+    Machine,
+    MachineInventory,
+    MachineStatus,
+    Placement,
+    TeamUsage,
+)
+from sandladder.state import (
     JOB,
+    StateCache,
+    Transaction,
     finished_job_value,
     instances_value,
     job_value,
@@ -30,7 +39,6 @@
     read_team,
     unpack_inventory,
 )
-from sandladder.state.transaction import Transaction
 from sandladder.transport import peer_transport
 
 KEPT: dict[str, Any] = json.loads(samples.FILE.read_text("utf-8"))
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -3,7 +3,7 @@
 import msgspec
 import pytest
 
-from sandladder.config.settings import Objective, Settings
+from sandladder.config import Objective, Settings
 from world import settings
 
 TEAM = '[[deployment.teams]]\nname = "red"\n'
@@ -11,7 +11,7 @@
 
 def test_settings_name_the_bad_field(tmp_path, capsys) -> None:
     from sandladder.cli import main
-    from sandladder.config.settings import SettingsError, parse_operator
+    from sandladder.config import SettingsError, parse_operator
 
     good = (
         'node_name = "n"\nlocation = "z"\napi_addr = "1.2.3.4:1"\nmesh_addr = "1.2.3.4:2"\n'
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -5,14 +5,17 @@
 
 import anyio
 
-from sandladder.protocol.wire import dumps
-from sandladder.state.cache import StateCache
-from sandladder.state.group_commit import GroupCommitter, PendingChange
-from sandladder.state.store_client import StoreClient
-from sandladder.state.store_limits import StoreLimits
-from sandladder.state.token_bucket import AdaptiveTokenBucket
-from sandladder.state.transaction import Transaction
-from sandladder.transport.http import Response
+from sandladder.protocol import dumps
+from sandladder.state import (
+    AdaptiveTokenBucket,
+    GroupCommitter,
+    PendingChange,
+    StateCache,
+    StoreClient,
+    StoreLimits,
+    Transaction,
+)
+from sandladder.transport import Response
 from world import settings
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -165,7 +165,7 @@
 
 @needs_history
 def test_the_form_is_not_raised_while_one_never_came_back_until_its_operators_say_so() -> None:
-    from sandladder.state.schema_migration import retire
+    from sandladder.state import retire
 
     world = World(940, old=True)
 
@@ -186,13 +186,16 @@
 
 
 def test_a_mark_alone_does_not_raise_the_form_while_an_older_version_lives() -> None:
-    from sandladder.model.machines import MachineInventory
-    from sandladder.model.schema import SCHEMA_V2
-    from sandladder.state.cache import StateCache
-    from sandladder.state.errors import PreconditionFailedError
-    from sandladder.state.records import NODE, pack_inventory
-    from sandladder.state.schema_migration import mark_schema_version, raise_schema_version
-    from sandladder.state.transaction import Transaction
+    from sandladder.model import SCHEMA_V2, MachineInventory
+    from sandladder.state import (
+        NODE,
+        PreconditionFailedError,
+        StateCache,
+        Transaction,
+        mark_schema_version,
+        pack_inventory,
+        raise_schema_version,
+    )
 
     cache = StateCache()
     for node in "ab":
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -6,17 +6,12 @@
 
 from days import warm
 from helpers import LIMITS, accept, commit, scene, spec
-from sandladder.autoscaling import scaling_policy
-from sandladder.autoscaling.scaling_policy import ScalingPolicy
-from sandladder.config.settings import TeamLimits
-from sandladder.jobs.transitions import end, start, submit
-from sandladder.model.agents import AgentHeartbeat
-from sandladder.model.jobs import EndedAttempt, Placement
-from sandladder.model.machines import Machine
-from sandladder.scheduling import bin_packing
-from sandladder.scheduling.cluster_view import ClusterView
-from sandladder.state.cache import StateCache
-from sandladder.state.transaction import Transaction
+from sandladder.autoscaling import ScalingPolicy, scaling_policy
+from sandladder.config import TeamLimits
+from sandladder.jobs import end, start, submit
+from sandladder.model import AgentHeartbeat, EndedAttempt, Machine, Placement
+from sandladder.scheduling import ClusterView, bin_packing
+from sandladder.state import StateCache, Transaction
 from world import World, job, now, run
 
 
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -11,7 +11,7 @@
 import pytest
 
 from days import Trouble, crashes, cuts, everything, machines, mixed, outage, quiet, warm
-from sandladder.scheduling.cluster_view import SICK_ERRORS
+from sandladder.scheduling import SICK_ERRORS
 from world import World, job, now, run
 
 SIGNS = "".join(chr(n) for n in range(33, 127))
--- a/tests/world.py
+++ b/tests/world.py
@@ -23,11 +23,10 @@
 
 import production
 from answers import OVER, Answers, lacking, misfit, over_limit
+from sandladder.config import Settings
 from sandladder.config import settings as settings_module
-from sandladder.config.settings import Settings
 from sandladder.controller import controller as controller_module
-from sandladder.transport import http, peer_transport
-from sandladder.transport.http import HttpError, Request, Response
+from sandladder.transport import HttpError, Request, Response, http, peer_transport
 
 ZONES = ["north", "south"]
 TYPES = {
--- a/tools/capacity/measure.py
+++ b/tools/capacity/measure.py
@@ -11,19 +11,25 @@
 
 from capacity import scene as scenes
 from capacity.rows import Row
-from sandladder.autoscaling.scaling_policy import ScalingPolicy
-from sandladder.config.settings import TeamLimits
-from sandladder.jobs.transitions import end, start
-from sandladder.model.agents import AgentHeartbeat, ClockReading, Command, ReportedTask
-from sandladder.model.jobs import EndedAttempt, Placement
-from sandladder.model.machines import Machine, MachineInventory, MachineStatus
-from sandladder.model.membership import Member
+from sandladder.autoscaling import ScalingPolicy
+from sandladder.config import TeamLimits
+from sandladder.jobs import end, start
+from sandladder.model import (
+    AgentHeartbeat,
+    ClockReading,
+    Command,
+    EndedAttempt,
+    Machine,
+    MachineInventory,
+    MachineStatus,
+    Member,
+    Placement,
+    ReportedTask,
+)
 from sandladder.protocol import wire
-from sandladder.state.cache import StateCache
-from sandladder.state.records import JOB, fold_inventory, instances_value
-from sandladder.state.transaction import Transaction
-from sandladder.transport import peer_transport
-from sandladder.transport.http import Response, _encode_answer
+from sandladder.state import JOB, StateCache, Transaction, fold_inventory, instances_value
+from sandladder.transport import Response, peer_transport
+from sandladder.transport.http import _encode_answer
 
 # The step that processor time is given in: a hash over so many bytes.
 _REFERENCE_BYTES = 1 << 16
--- a/tools/capacity/scene.py
+++ b/tools/capacity/scene.py
@@ -5,9 +5,8 @@
 
 import msgspec
 
-from sandladder.agents.lease_expiry import LeaseExpiryProof
-from sandladder.agents.reconciler import Reconciler
-from sandladder.config.settings import (
+from sandladder.agents import LeaseExpiryProof, Reconciler
+from sandladder.config import (
     Cloud,
     Deployment,
     External,
@@ -17,24 +16,28 @@
     TeamLimits,
     WorkerSettings,
 )
-from sandladder.jobs.transitions import start, submit
-from sandladder.model.agents import AgentHeartbeat, ReportedTask
-from sandladder.model.jobs import ARRAY, NORMAL, JobSpec, Placement
-from sandladder.model.machines import MachineType
-from sandladder.model.membership import TeamAssignment
-from sandladder.model.schema import SCHEMA_V2
-from sandladder.scheduling.cluster_view import ClusterView
-from sandladder.scheduling.planner import Planner
-from sandladder.scheduling.premises import Gate
-from sandladder.state.cache import StateCache
-from sandladder.state.records import (
+from sandladder.jobs import start, submit
+from sandladder.model import (
+    ARRAY,
+    NORMAL,
+    SCHEMA_V2,
+    AgentHeartbeat,
+    JobSpec,
+    MachineType,
+    Placement,
+    ReportedTask,
+    TeamAssignment,
+)
+from sandladder.scheduling import ClusterView, Gate, Planner
+from sandladder.state import (
     SCHEMA_VERSION_KEY,
     TEAM,
+    StateCache,
+    StoreLimits,
+    Transaction,
     assignment_value,
     schema_version_value,
 )
-from sandladder.state.store_limits import StoreLimits
-from sandladder.state.transaction import Transaction
 
 NODE, TERM = "node-0", 1
 ZONES = ("a1", "a2", "b1", "b2")
--- a/tools/handover.py
+++ b/tools/handover.py
@@ -24,7 +24,7 @@
 
 from fleet import HOLD, REPORT, Fleet, Node  # noqa: E402
 
-from sandladder.membership.failure_detector import HealthLevel  # noqa: E402
+from sandladder.membership import HealthLevel  # noqa: E402
 
 # How long a night goes on after its fault: time enough to go home again.
 _AFTER_S = 40.0
