--- /dev/null
+++ b/src/sandladder/controller/change_handler.py
@@ -0,0 +1,135 @@
+"""What follows from a change of the records: evidence taken in, premises revalidated, commands."""
+
+import logging
+from collections.abc import Iterable
+
+from sandladder import clock
+from sandladder.agents import AgentService, LeaseExpiryProof, LeaseRenewalGuard, Reconciler
+from sandladder.controller.planning_loop import PlanningTriggers
+from sandladder.jobs import DependencyResolver
+from sandladder.membership import ControllerLease, MembershipService
+from sandladder.model import HIGH
+from sandladder.scheduling import ClusterView, Gate, Outcome, Resource
+from sandladder.state import FINAL, INSTANCE, JOB, NODE, ROSTER, TEAM, TYPES, StateCache
+
+log = logging.getLogger(__name__)
+
+
+class ChangeHandler:
+    """Called with the keys that changed, whether the watch brought them or a commit of our own."""
+
+    def __init__(
+        self,
+        *,
+        triggers: PlanningTriggers,
+        cache: StateCache,
+        lease_expiry: LeaseExpiryProof,
+        renewal_guard: LeaseRenewalGuard,
+        controller_lease: ControllerLease,
+        membership: MembershipService,
+        cluster_view: ClusterView,
+        gate: Gate,
+        reconciler: Reconciler,
+        agent_service: AgentService,
+        dependency_resolver: DependencyResolver,
+    ) -> None:
+        self._triggers = triggers
+        self._cache = cache
+        self._lease_expiry = lease_expiry
+        self._renewal_guard = renewal_guard
+        self._controller_lease = controller_lease
+        self._membership = membership
+        self._cluster_view = cluster_view
+        self._gate = gate
+        self._reconciler = reconciler
+        self._agent_service = agent_service
+        self._dependency_resolver = dependency_resolver
+
+    def read_completed(self, sent: float) -> None:
+        """A reading of the store that was sent at this steady time, in seconds, is in the cache."""
+        self._lease_expiry.synced(sent, self._cache.revision)
+        self._cache.synced(sent)
+        self._renewal_guard.read(sent)
+
+    def records_changed(self, keys: dict[str, None]) -> None:
+        """Take in what changed, check again the premises that it reaches, and send commands."""
+        self._cluster_view.now = clock.now()
+        self._take_in_members(keys)
+        self._take_in_machine_types(keys)
+        changed_machines, self._cache.changed_machines = self._cache.changed_machines, {}
+        started_tasks, self._cache.started_tasks = self._cache.started_tasks, {}
+        resources = [
+            *self._touch_machines(changed_machines),
+            *self._note_starts(started_tasks),
+            *self._changed_jobs_and_teams(keys),
+        ]
+        self._revalidate(resources)
+        self._send_commands(changed_machines)
+        self._dependency_resolver.due.set()
+        self._triggers.due.set()
+
+    def _take_in_members(self, keys: dict[str, None]) -> None:
+        """Controllers' inventories and the roster."""
+        now = self._cluster_view.now
+        if any(key.startswith(NODE) for key in keys):
+            self._lease_expiry.observe(self._cache.nodes, now, self._cache.unreadable_nodes)
+            self._controller_lease.observe()
+            self._membership.observe(now)
+            self._cluster_view.observe()
+        if ROSTER in keys:
+            self._membership.observe(now)
+
+    def _take_in_machine_types(self, keys: dict[str, None]) -> None:
+        if TYPES in keys:
+            self._cluster_view.recount()
+        elif any(key.startswith(INSTANCE) for key in keys):
+            self._cluster_view.relist()
+
+    def _touch_machines(self, machines: Iterable[str]) -> list[Resource]:
+        resources: list[Resource] = []
+        for machine in machines:
+            self._cluster_view.touch(machine)
+            resources.append(("machine", machine))
+        return resources
+
+    def _note_starts(self, started_tasks: Iterable[tuple[str, int]]) -> list[Resource]:
+        resources: list[Resource] = []
+        for job_id, task in started_tasks:
+            resources.append(("task", f"{job_id}/{task}"))
+            job = self._cache.jobs.get(job_id)
+            if job is not None and task in job.live:
+                self._cluster_view.note_start(job.spec, job.live[task])
+        return resources
+
+    def _changed_jobs_and_teams(self, keys: Iterable[str]) -> list[Resource]:
+        resources: list[Resource] = []
+        for key in keys:
+            if key.startswith((JOB, FINAL)):
+                job_id = key[len(JOB) :]
+                resources.append(("job", job_id))
+                self._trigger_if_urgent(job_id)
+            elif key.startswith(TEAM):
+                resources.append(("team", key[len(TEAM) :]))
+        return resources
+
+    def _trigger_if_urgent(self, job_id: str) -> None:
+        job = self._cache.jobs.get(job_id)
+        if job and job.waiting and self._cluster_view.outlook(job).priority >= HIGH:
+            self._triggers.urgent.set()
+
+    def _revalidate(self, resources: list[Resource]) -> None:
+        for verdict in self._gate.changed(resources, self._cluster_view):
+            if verdict.outcome >= Outcome.REPLAN:
+                log.debug(
+                    "%s %s on %s: %s",
+                    verdict.outcome.name,
+                    verdict.pending_start.key,
+                    verdict.pending_start.placement.machine,
+                    verdict.reason,
+                )
+
+    def _send_commands(self, machines: Iterable[str]) -> None:
+        for machine in machines:
+            agent = self._reconciler.machines.get(machine)
+            if agent is not None:
+                self._agent_service.push(agent)
--- a/src/sandladder/controller/controller.py
+++ b/src/sandladder/controller/controller.py
@@ -1,4 +1,4 @@
-"""A controller: its duties joined, the plan of what runs where, and what changes set off."""
+"""A controller: its services, made, joined and started."""
 
 import logging
 import time
@@ -12,45 +12,33 @@
 from sandladder.agents import AgentService, LeaseExpiryProof, LeaseRenewalGuard, Reconciler
 from sandladder.api import JobApi
 from sandladder.autoscaling import Autoscaler, CloudClient
-from sandladder.concurrency import Signal
+from sandladder.concurrency import BackgroundTasks
 from sandladder.config import Settings, split_addr
-from sandladder.jobs import DependencyResolver, JobCommitter, stop
+from sandladder.controller.change_handler import ChangeHandler
+from sandladder.controller.planning_loop import PlanningLoop, PlanningTriggers
+from sandladder.controller.statistics import StatisticsLog
+from sandladder.jobs import DependencyResolver, JobCommitter
 from sandladder.membership import (
     ControllerLease,
     FailureDetector,
     MembershipPolicy,
     MembershipService,
 )
-from sandladder.model import HIGH, LOW, Job
 from sandladder.peers import PeerService
 from sandladder.protocol import wire
 from sandladder.scheduling import (
     ClusterView,
     Gate,
-    Outcome,
     Planner,
     PreemptionPolicy,
-    PreemptionVictim,
-    Resource,
 )
 from sandladder.state import (
-    FINAL,
-    INSTANCE,
-    JOB,
-    NODE,
-    P_WORK,
-    ROSTER,
-    TEAM,
-    TYPES,
     GroupCommitter,
-    PendingChange,
-    PreconditionFailedError,
     SchemaMigration,
     StateCache,
     StoreClient,
     StoreLimits,
     StoreWatch,
-    Transaction,
 )
 from sandladder.transport import Client, Connect, Server, peer_transport
 
@@ -109,14 +97,19 @@
             connect(host, port, keep=6), deployment.state, self.store_timeout_s
         )
         self.watch = StoreWatch(
-            self.store, self.cache, len(self.nodes), self._changed, self._synced, self.report_s
+            self.store,
+            self.cache,
+            len(self.nodes),
+            self._records_changed,
+            self._read_completed,
+            self.report_s,
         )
         self.committer = GroupCommitter(
             self.store,
             self.cache,
             self.watch,
             rng,
-            self._changed,
+            self._records_changed,
             self.limits,
             trust_s=8 * self.lease_s,
             patience_s=self.report_s,
@@ -144,17 +137,49 @@
             self.store_reachable,
             self.limits,
             wall,
-            self._moved,
+            self._assignment_moved,
             self.cluster_view.doubt_controllers,
         )
-        self.plan_due = Signal()
-        self._urgent_due = Signal()  # something that must start at once waits
+        self.triggers = PlanningTriggers()
+        self.plan_due = self.triggers.due
+        self.background = BackgroundTasks()
         self.tasks: TaskGroup | None = None
+        self.change_handler = ChangeHandler(
+            triggers=self.triggers,
+            cache=self.cache,
+            lease_expiry=self.lease_expiry,
+            renewal_guard=self.renewal_guard,
+            controller_lease=self.controller_lease,
+            membership=self.membership,
+            cluster_view=self.cluster_view,
+            gate=self.gate,
+            reconciler=self.reconciler,
+            agent_service=self.agent_service,
+            dependency_resolver=self.dependency_resolver,
+        )
+        self.planning_loop = PlanningLoop(
+            triggers=self.triggers,
+            teams=teams,
+            report_s=self.report_s,
+            cache=self.cache,
+            watch=self.watch,
+            committer=self.committer,
+            controller_lease=self.controller_lease,
+            peers=self.peers,
+            cluster_view=self.cluster_view,
+            planner=self.planner,
+            preemption=self.preemption,
+            job_committer=self.job_committer,
+            background=self.background,
+            wall=wall,
+        )
+        self.statistics = StatisticsLog(self.gate, self.committer, 5 * self.lease_s)
 
     async def run(self) -> None:
         """Serve until cancelled."""
         async with anyio.create_task_group() as tasks:
             self.tasks = tasks
+            self.background.open(tasks)
             self._listen(tasks)
             for duty in (
                 self.watch.run,
@@ -164,9 +189,9 @@
                 self.schema_migration.run,
                 self.membership.run,
                 self.dependency_resolver.run,
-                self._plan,
+                self.planning_loop.run,
                 self.agent_service.sweep,
-                self._tell,
+                self.statistics.run,
                 self.autoscaler.run,
             ):
                 tasks.start_soon(self._duty, duty)
@@ -214,136 +239,16 @@
     def _duty_failed(self, name: str) -> None:
         log.exception("a duty failed: %s", name)
 
-    def _synced(self, sent: float) -> None:
-        self.lease_expiry.synced(sent, self.cache.revision)
-        self.cache.synced(sent)
-        self.renewal_guard.read(sent)
+    def _records_changed(self, keys: dict[str, None]) -> None:
+        self.change_handler.records_changed(keys)
 
-    def _changed(self, keys: dict[str, None]) -> None:
-        """The records changed: check the premises that this reaches, and deliver."""
-        now = self.cluster_view.now = clock.now()
-        if any(key.startswith(NODE) for key in keys):
-            self.lease_expiry.observe(self.cache.nodes, now, self.cache.unreadable_nodes)
-            self.controller_lease.observe()
-            self.membership.observe(now)
-            self.cluster_view.observe()
-        if ROSTER in keys:
-            self.membership.observe(now)
-        if TYPES in keys:
-            self.cluster_view.recount()
-        elif any(key.startswith(INSTANCE) for key in keys):
-            self.cluster_view.relist()
-        resources: list[Resource] = []
-        changed_machines, self.cache.changed_machines = self.cache.changed_machines, {}
-        started_tasks, self.cache.started_tasks = self.cache.started_tasks, {}
-        for machine in changed_machines:
-            self.cluster_view.touch(machine)
-            resources.append(("machine", machine))
-        for job_id, task in started_tasks:
-            resources.append(("task", f"{job_id}/{task}"))
-            job = self.cache.jobs.get(job_id)
-            if job is not None and task in job.live:
-                self.cluster_view.note_start(job.spec, job.live[task])
-        for key in keys:
-            if key.startswith((JOB, FINAL)):
-                resources.append(("job", key[len(JOB) :]))
-                job = self.cache.jobs.get(key[len(JOB) :])
-                if job and job.waiting and self.cluster_view.outlook(job).priority >= HIGH:
-                    self._urgent_due.set()
-            elif key.startswith(TEAM):
-                resources.append(("team", key[len(TEAM) :]))
-        for verdict in self.gate.changed(resources, self.cluster_view):
-            if verdict.outcome >= Outcome.REPLAN:
-                log.debug(
-                    "%s %s on %s: %s", verdict.outcome.name, verdict.pending_start.key,
-                    verdict.pending_start.placement.machine, verdict.reason,
-                )  # fmt: skip
-        for machine in changed_machines:
-            agent = self.reconciler.machines.get(machine)
-            if agent is not None:
-                self.agent_service.push(agent)
-        self.dependency_resolver.due.set()
-        self.plan_due.set()
+    def _read_completed(self, sent: float) -> None:
+        self.change_handler.read_completed(sent)
 
-    def _moved(self) -> None:
-        """A team came or went: see it in the records, and plan."""
+    def _assignment_moved(self) -> None:
+        """A team was assigned to us or to another: see it in the records, and plan."""
         self.watch.wake()
-        self.plan_due.set()
-
-    def _owned(self) -> list[Job]:
-        mine = {
-            team.name
-            for team in self.settings.platform.deployment.teams
-            if self.peers.places(team.name)
-        }
-        return [job for job in self.cache.jobs.values() if job.spec.team in mine]
-
-    async def _plan(self) -> None:
-        while True:
-            await self.plan_due.wait(min(self.report_s, self.planner.again_s))
-            if not self.controller_lease.alive() or not self.watch.loaded or not self.cache.types:
-                await anyio.sleep(self.report_s / 10)
-                continue
-            began = self.cluster_view.now = clock.now()
-            self.cluster_view.ahead = self.wall() - began
-            owned = self._owned()
-            # What cannot be written yet would only grow stale: another controller takes the room.
-            soon = self.committer.free_in_s <= self.report_s / 16
-            admitted = self.planner.plan(
-                owned, self.job_committer.backing_off, LOW if soon else HIGH
-            )
-            self.job_committer.start(admitted)
-            for victim in self.preemption.preempt(
-                owned, self.job_committer.backing_off
-            ) + self.preemption.moves(owned):
-                self._commit_stop(victim)
-            # Planning may take a quarter of our time; the more there is to do, the more
-            # is done at once.  Without urgent work the next round can wait for more of it: seen
-            # in a measured day, where a sixth of the processor time went into fifteen a second.
-            took = clock.now() - began
-            await anyio.sleep(max(self.report_s / 32, 3 * took))
-            if not self.planner.urgent:
-                await self._urgent_due.wait(self.report_s / 12)
-
-    def _commit_stop(self, victim: PreemptionVictim) -> None:
-        """Have a running task stopped so that more urgent work gets its room."""
-        log.info("stopping %s/%d for %s", *victim[:2], victim.reason)
-
-        def apply(transaction: Transaction) -> bool:
-            return stop(transaction, victim.job, [victim.task], victim.grace_s)
-
-        change = self.committer.add(PendingChange(f"stop in {victim.job}", P_WORK, 1, apply))
-        assert self.tasks is not None
-        self.tasks.start_soon(self._after_stop, change, victim)
-
-    async def _after_stop(self, change: PendingChange, victim: PreemptionVictim) -> None:
-        try:
-            await change.wait()
-        except PreconditionFailedError as refusal:
-            log.debug("%s: %s", change.name, refusal)
-        finally:
-            self.preemption.settled(victim)
-        observation = self.cluster_view.observation(victim.machine)
-        if observation is not None:
-            self.peers.notify({observation.reporting_controller})
-
-    async def _tell(self) -> None:
-        """Log now and then how much was checked, committed and rejected."""
-        while True:
-            await anyio.sleep(5 * self.lease_s)
-            gate = self.gate
-            log.info(
-                "gate: %d premises checked (a full scan: %d), verdicts %s; "
-                "%d transactions committed (%s), %d rejected (%s), %d changes waiting",
-                gate.checked,
-                gate.full_scan,
-                dict(gate.verdicts),
-                self.committer.committed,
-                dict(self.committer.wrote),
-                self.committer.rejected,
-                dict(self.committer.refused_over),
-                self.committer.queued,
-            )
+        self.triggers.due.set()
 
     def store_reachable(self) -> bool:
         return clock.now() - self.store.ok_at < self.report_s / 2
