--- a/src/sandladder/autoscaling/cloud_client.py
+++ b/src/sandladder/autoscaling/cloud_client.py
@@ -1,66 +1,98 @@
-"""The client of the cloud."""
+"""The client of the cloud that runs the instances."""
 
-from sandladder.autoscaling.scaling_policy import ScaleOutRequest
+from sandladder.autoscaling.offers import ScaleOutRequest
+from sandladder.errors import SandladderError
 from sandladder.model import ListedMachine, MachineType
 from sandladder.protocol import wire
 from sandladder.state import AdaptiveTokenBucket
 from sandladder.transport import HttpError, Requester, Response
 
+_OK, _OVER_RATE_LIMIT, _UNAVAILABLE = 200, 429, 503
+# How many machines a page of the list may have.
+_PAGE_SIZE = 500
 
-class CloudError(Exception):
-    """The cloud gave no usable answer."""
+
+class CloudError(SandladderError):
+    """The cloud gave no usable answer.
+
+    Attributes:
+        status: the answer's HTTP status, or None if there was no whole answer.
+    """
+
+    def __init__(self, text: str, status: int | None = None) -> None:
+        super().__init__(text)
+        self.status = status
 
 
 class NoCapacityError(CloudError):
-    """The cloud has none of these machines now."""
+    """The cloud has no instances of this offer now."""
 
 
 class CloudClient:
-    """Requests to the cloud, counted against its rate limit."""
+    """Requests to the cloud, counted against its rate limit.
+
+    Every method raises `CloudError` when there is no usable answer in time, and
+    `wire.MalformedMessageError` for an answer that makes no sense.  After an error, or cancelled,
+    a request may have been carried out or not.
+    """
 
     def __init__(self, client: Requester, timeout: float, rps: float) -> None:
-        """`timeout` in seconds; `rps`: the requests a second that the cloud takes."""
+        """
+        Args:
+            client: sends the requests.
+            timeout: how long to wait for an answer, in seconds.
+            rps: the requests a second that the cloud takes from all controllers.
+        """
         self._client = client
         self._timeout = timeout
-        self.requests = AdaptiveTokenBucket(rps)
-
-    async def _request(self, method: str, target: str, body: bytes = b"") -> Response:
-        self.requests.spend(1)
-        try:
-            answer = await self._client.request(method, target, body, timeout=self._timeout)
-        except HttpError as error:
-            raise CloudError(str(error)) from None
-        if answer.status == 429:
-            self.requests.refused(1)
-            raise CloudError("over the rate limit")
-        self.requests.allowed()
-        if answer.status == 503 and b"no capacity" in answer.body:
-            raise NoCapacityError
-        if answer.status != 200:
-            raise CloudError(f"status {answer.status}")
-        return answer
+        self.rate_limit = AdaptiveTokenBucket(rps)
 
-    async def catalog(self) -> dict[str, MachineType]:
+    async def machine_types(self) -> dict[str, MachineType]:
+        """The machine types that the cloud has, by name."""
         return wire.parse_catalog((await self._request("GET", wire.CATALOG)).body)
 
-    async def rent(self, name: str, rental: ScaleOutRequest) -> list[str]:
-        """Rent machines; the same name may be asked again and rents nothing more."""
-        body = wire.hire_body(name, rental.type, rental.zone, rental.spot, rental.number)
+    async def create_instances(self, name: str, request: ScaleOutRequest) -> list[str]:
+        """Ask for instances; the names of those that were created, perhaps fewer.
+
+        Args:
+            name: names the request; asked again under the same name, nothing more is created.
+            request: which instances, and how many.
+
+        Raises:
+            NoCapacityError: the cloud has none of these now.
+        """
+        body = wire.hire_body(name, request.type, request.zone, request.spot, request.number)
         return wire.parse_hired((await self._request("POST", wire.MACHINES, body)).body)
 
-    async def give_back(self, machines: list[str]) -> None:
-        """Return machines; once this returns they and all on them are gone."""
+    async def return_instances(self, machines: list[str]) -> None:
+        """Return instances; once this returns they and all that ran on them are gone."""
         await self._request("POST", wire.RETURN, wire.return_body(machines))
 
-    async def machines(self) -> list[ListedMachine]:
-        """The whole list, page by page."""
+    async def list_machines(self) -> list[ListedMachine]:
+        """The whole list of machines, page by page; it may be older than the last one."""
         found: list[ListedMachine] = []
         after = ""
         while True:
             start = f"after={after}&" if after else ""
-            answer = await self._request("GET", f"{wire.MACHINES}?{start}most=500")
+            answer = await self._request("GET", f"{wire.MACHINES}?{start}most={_PAGE_SIZE}")
             page, more = wire.parse_machines(answer.body)
             found += page
             if not more or not page:
                 return found
             after = page[-1].id
+
+    async def _request(self, method: str, target: str, body: bytes = b"") -> Response:
+        self.rate_limit.spend(1)
+        try:
+            answer = await self._client.request(method, target, body, timeout=self._timeout)
+        except HttpError as error:
+            raise CloudError(str(error)) from None
+        if answer.status == _OVER_RATE_LIMIT:
+            self.rate_limit.refused(1)
+            raise CloudError("over the rate limit", answer.status)
+        self.rate_limit.allowed()
+        if answer.status == _UNAVAILABLE and b"no capacity" in answer.body:
+            raise NoCapacityError("no capacity", answer.status)
+        if answer.status != _OK:
+            raise CloudError(f"status {answer.status}", answer.status)
+        return answer
--- /dev/null
+++ b/src/sandladder/autoscaling/machine_types.py
@@ -0,0 +1,61 @@
+"""Keeps the record of machine types like the cloud's catalog."""
+
+from sandladder import clock
+from sandladder.autoscaling.cloud_client import CloudClient
+from sandladder.state import (
+    P_WORK,
+    GroupCommitter,
+    PendingChange,
+    StateCache,
+    Transaction,
+    put_types,
+)
+
+
+class MachineTypeUpdater:
+    """Writes the machine types into the store, first of all and whenever they change."""
+
+    def __init__(
+        self, cache: StateCache, cloud: CloudClient, committer: GroupCommitter, interval_s: float
+    ) -> None:
+        """
+        Args:
+            cache: the records.
+            cloud: has the catalog.
+            committer: writes the record.
+            interval_s: how often the catalog is read, in seconds.
+        """
+        self._cache = cache
+        self._cloud = cloud
+        self._committer = committer
+        self._interval_s = interval_s
+        self._next_at = 0.0
+
+    async def update(self, is_autoscaler: bool) -> None:
+        """Read the catalog if that is due, and write it if it is new.
+
+        Args:
+            is_autoscaler: whether this controller is the autoscaler; any other reads the catalog
+                only while there is no record of it.
+
+        Raises:
+            CloudError: the catalog cannot be read.
+            PreconditionFailedError: the record cannot be written.
+
+        Cancelled, the record is old or new.
+        """
+        if not self._cache.term:
+            return  # the first controller to get a fencing token sets the schema version
+        due = is_autoscaler and clock.now() >= self._next_at
+        if self._cache.types and not due:
+            return
+        types = await self._cloud.machine_types()
+        self._next_at = clock.now() + self._interval_s
+        if types == self._cache.types:
+            return
+
+        def apply(transaction: Transaction) -> bool:
+            put_types(transaction, types)
+            return True
+
+        await self._committer.add(PendingChange("machine types", P_WORK, 1, apply)).wait()
--- a/src/sandladder/controller/controller.py
+++ b/src/sandladder/controller/controller.py
@@ -11,7 +11,7 @@
 from sandladder import clock
 from sandladder.agents import AgentService, LeaseExpiryProof, LeaseRenewalGuard, Reconciler
 from sandladder.api import JobApi
-from sandladder.autoscaling import Autoscaler, CloudClient
+from sandladder.autoscaling import Autoscaler, CloudClient, ControllerStatus
 from sandladder.concurrency import Signal
 from sandladder.config import Settings, split_addr
 from sandladder.jobs import DependencyResolver, JobCommitter, stop
@@ -125,7 +125,22 @@
         self.cloud = CloudClient(
             connect(host, port, keep=2), self.lease_s / 3, deployment.cloud.rps
         )
-        self.autoscaler = Autoscaler(self)
+        self.autoscaler = Autoscaler(
+            self.cluster_view,
+            self.store,
+            self.committer,
+            self.limits,
+            self.cloud,
+            connect,
+            ControllerStatus(
+                records_loaded=lambda: self.watch.loaded,
+                lease_alive=self.controller_lease.alive,
+                isolated=self.agent_service.deaf,
+                uptime_s=self.lease_expiry.up_s,
+                fencing_token=lambda: self.reconciler.term,
+                wall=wall,
+            ),
+        )
         detector = FailureDetector(
             self.node,
             peers,
