--- a/src/sandladder/autoscaling/autoscaler.py
+++ b/src/sandladder/autoscaling/autoscaler.py
@@ -56,7 +56,7 @@
             cluster_view: what is known of the machines, with the records and the settings.
             store: grants and renews the autoscaler's lease.
             committer: writes records.
-            limits: how much a transaction may hold.
+            limits: how large a transaction may be.
             cloud: creates, lists and returns instances.
             connect: makes a client for an instance's agent.
             controller: what is asked of the controller that this is part of.
@@ -90,7 +90,6 @@
             self._reconciler,
             connect,
             controller,
-            workers,
         )
         self._launcher = InstanceLauncher(
             settings.node, cloud, self._policy, self._records, controller, self._pause_s
@@ -131,7 +130,7 @@
         now = self._cluster_view.now = clock.now()
         self._cluster_view.ahead = self._controller.wall() - now
         self._policy.observe_jobs()
-        await self._types.update(self._lease.held)
+        await self._types.update(self._lease.acquired)
         if await self._lease.ensure():
             await self._scale()
 
--- a/src/sandladder/autoscaling/autoscaler_lease.py
+++ b/src/sandladder/autoscaling/autoscaler_lease.py
@@ -60,7 +60,7 @@
         self._version = 0  # of the key that is ours
 
     @property
-    def held(self) -> bool:
+    def acquired(self) -> bool:
         """Whether the lease was ours when it was last looked at; it may have expired since."""
         return self._renewal is not None
 
--- a/src/sandladder/autoscaling/headroom.py
+++ b/src/sandladder/autoscaling/headroom.py
@@ -3,7 +3,8 @@
 from collections import Counter
 
 from sandladder.autoscaling.job_history import ClassHistory, JobHistory
-from sandladder.autoscaling.waiting_work import ScalingInputs, single_zone
+from sandladder.autoscaling.scaling_inputs import ScalingInputs
+from sandladder.autoscaling.zone_choice import single_zone
 from sandladder.model import JobSpec
 from sandladder.scheduling import Shortage, ZoneShares, fill
 
@@ -19,11 +20,10 @@
     Headroom for work that may run on spot instances is not worth an on-demand one.
     """
     cluster_view = inputs.cluster_view
-    lease_s = cluster_view.settings.platform.deployment.workers.lease_s
     shortages = []
     for cls, recent in history.classes():
         start_within_s = inputs.objectives.waits.get(cls)
-        if start_within_s is None or start_within_s > _PROMPT_LEASES * lease_s:
+        if start_within_s is None or start_within_s > _PROMPT_LEASES * inputs.lease_s:
             continue
         spec = recent.latest
         count = _headroom_tasks(inputs, recent, start_within_s)
--- a/src/sandladder/autoscaling/instance_drainer.py
+++ b/src/sandladder/autoscaling/instance_drainer.py
@@ -9,9 +9,9 @@
 from sandladder.autoscaling.controller_status import ControllerStatus
 from sandladder.autoscaling.instance_reconciler import MOST_RETURNED, InstanceReconciler
 from sandladder.autoscaling.instance_records import InstanceRecordWriter
-from sandladder.autoscaling.instance_states import DRAINING, GONE, RENTED
+from sandladder.autoscaling.instance_states import ACTIVE, DRAINING, GONE
 from sandladder.autoscaling.scaling_policy import ScalingPolicy
-from sandladder.config import WorkerSettings, split_addr
+from sandladder.config import split_addr
 from sandladder.model import Machine
 from sandladder.protocol import wire
 from sandladder.scheduling import ClusterView
@@ -32,18 +32,16 @@
         reconciler: InstanceReconciler,
         connect: Connect,
         controller: ControllerStatus,
-        workers: WorkerSettings,
     ) -> None:
         """
         Args:
-            cluster_view: what is known of the machines.
+            cluster_view: what is known of the machines, with the records and the settings.
             policy: decides which instances to drain.
             cloud: takes instances back.
             records: takes the changes of instances' records.
             reconciler: knows the instances' addresses.
             connect: makes a client for an instance's agent.
             controller: for how long this controller has run.
-            workers: the lease and heartbeat interval of agents.
         """
         self._cluster_view = cluster_view
         self._cache = cluster_view.cache
@@ -53,6 +51,7 @@
         self._reconciler = reconciler
         self._connect = connect
         self._controller = controller
+        workers = cluster_view.settings.platform.deployment.workers
         self._lease_s = workers.lease_s
         self._probe_timeout_s = workers.report_s / 2
 
@@ -75,7 +74,7 @@
         for machine in self._policy.scale_in_candidates(wall):
             capacity = self._cluster_view.capacity(machine)
             record = self._records.record(machine)
-            if capacity is not None and (record is None or record.state == RENTED):
+            if capacity is not None and (record is None or record.state == ACTIVE):
                 log.info("draining instance %s", machine)
                 draining[machine] = Machine(
                     capacity.type, capacity.zone, capacity.spot, DRAINING, wall
@@ -87,7 +86,7 @@
         found = []
         for machine in self._policy.unresponsive(wall):
             record = self._records.record(machine)
-            if record is not None and record.state == RENTED:
+            if record is not None and record.state == ACTIVE:
                 found.append(machine)
         return found
 
--- a/src/sandladder/autoscaling/instance_launcher.py
+++ b/src/sandladder/autoscaling/instance_launcher.py
@@ -7,7 +7,7 @@
 from sandladder.autoscaling.cloud_client import CloudClient, CloudError, NoCapacityError
 from sandladder.autoscaling.controller_status import ControllerStatus
 from sandladder.autoscaling.instance_records import InstanceRecordWriter
-from sandladder.autoscaling.instance_states import RENTED
+from sandladder.autoscaling.instance_states import ACTIVE
 from sandladder.autoscaling.offers import ScaleOutRequest
 from sandladder.autoscaling.scaling_policy import ScalingPolicy
 from sandladder.model import Machine
@@ -36,7 +36,7 @@
         Args:
             node: this controller's name.
             cloud: creates instances.
-            policy: is told what the cloud refused.
+            policy: remembers what the cloud refused.
             records: takes the new instances.
             controller: the fencing token and the time of day.
             retry_pause_s: how long to wait before a request is sent again, in seconds.
@@ -69,7 +69,7 @@
             self._policy.note_refused(request)
         if machines:
             wall = self._controller.wall()
-            record = Machine(request.type, request.zone, request.spot, RENTED, wall)
+            record = Machine(request.type, request.zone, request.spot, ACTIVE, wall)
             self._records.note(dict.fromkeys(machines, record))
 
     async def _create(self, name: str, request: ScaleOutRequest) -> list[str]:
--- a/src/sandladder/autoscaling/instance_reconciler.py
+++ b/src/sandladder/autoscaling/instance_reconciler.py
@@ -5,7 +5,7 @@
 
 from sandladder.autoscaling.cloud_client import CloudClient
 from sandladder.autoscaling.instance_records import InstanceRecordWriter
-from sandladder.autoscaling.instance_states import DRAINING, GONE, LISTED_FAILED, RENTED
+from sandladder.autoscaling.instance_states import ACTIVE, DRAINING, GONE, LISTED_FAILED
 from sandladder.autoscaling.unresponsive import boot_is_overdue
 from sandladder.model import ListedMachine, Machine
 from sandladder.state import StateCache
@@ -98,7 +98,7 @@
             failed = item.state == LISTED_FAILED
             if record is None and not failed:
                 created = wall - max(0.0, item.age_s)
-                changes[item.id] = Machine(item.type, item.zone, item.spot, RENTED, created)
+                changes[item.id] = Machine(item.type, item.zone, item.spot, ACTIVE, created)
             elif record is not None and failed and record.state != GONE:
                 log.info("instance %s has failed", item.id)
                 changes[item.id] = record._replace(state=GONE, since=wall)
@@ -123,7 +123,7 @@
         changes = {}
         for item in listed:
             record = self._cache.instances.get(item.id)
-            if record is None or record.state != RENTED:
+            if record is None or record.state != ACTIVE:
                 continue
             if boot_is_overdue(item, self._cache.types):
                 log.info("instance %s does not boot: draining it", item.id)
--- a/src/sandladder/autoscaling/instance_records.py
+++ b/src/sandladder/autoscaling/instance_records.py
@@ -39,7 +39,7 @@
         Args:
             cache: the records.
             committer: writes the changes.
-            limits: how much a transaction may hold.
+            limits: how large a transaction may be.
             value_bytes: how long a value may be by the platform's settings.
             interval_s: how often changes that can wait are written, in seconds.
         """
@@ -72,8 +72,8 @@
     async def flush(self) -> None:
         """Write the changes, if that is due, as long as this controller is the autoscaler.
 
-        The store takes few changes: what is learnt in a while goes together, as much as one
-        transaction can hold; at once goes what proves that tasks are lost.
+        The store takes few changes: what is learnt in a while goes together, as much as fits
+        one transaction; at once goes what proves that tasks are lost.
 
         Raises:
             PreconditionFailedError: this controller is no longer the autoscaler, or a record
@@ -97,7 +97,7 @@
         )
 
     async def _commit_some(self) -> None:
-        """Write as many changes as a transaction can hold."""
+        """Write as many changes as fit one transaction."""
         chunks = sorted({self._chunk(machine) for machine in self._unwritten})
         chosen = set(chunks[: max(1, self._limits.txn_ops // _VALUES_PER_RECORD)])
         records = {
--- a/src/sandladder/autoscaling/instance_states.py
+++ b/src/sandladder/autoscaling/instance_states.py
@@ -6,7 +6,7 @@
 from typing import Final
 
 # In our records.
-RENTED: Final = "rented"  # boots or runs, and may be given work
+ACTIVE: Final = "rented"  # boots or runs, and may be given work
 DRAINING: Final = "draining"  # is given no more work and is returned once nothing runs there
 GONE: Final = "gone"  # was returned, failed, or is no longer in the cloud's list
 
--- a/src/sandladder/autoscaling/provisioned_capacity.py
+++ b/src/sandladder/autoscaling/provisioned_capacity.py
@@ -3,7 +3,7 @@
 from collections.abc import Collection, Iterable, Iterator, Mapping
 from typing import NamedTuple
 
-from sandladder.autoscaling.instance_states import RENTED
+from sandladder.autoscaling.instance_states import ACTIVE
 from sandladder.model import Machine
 from sandladder.scheduling import Bin, ClusterView, FreeCapacity
 
@@ -92,7 +92,7 @@
             bins.append(free_bin(cluster_view, capacity))
     for machine, record in instances.items():
         booting = types.get(record.type)
-        if record.state != RENTED or machine in booted or booting is None:
+        if record.state != ACTIVE or machine in booted or booting is None:
             continue
         if wall - record.since <= _SLOW_BOOT * booting.boot_s:
             cores[record.spot] += booting.cpus
--- a/src/sandladder/autoscaling/scaling_policy.py
+++ b/src/sandladder/autoscaling/scaling_policy.py
@@ -29,14 +29,10 @@
     idle_bins,
 )
 from sandladder.autoscaling.scale_out import choose_instances
+from sandladder.autoscaling.scaling_inputs import ScalingInputs, StartObjectives
 from sandladder.autoscaling.unresponsive import unresponsive_instances
 from sandladder.autoscaling.utilization import describe_utilization
-from sandladder.autoscaling.waiting_work import (
-    ScalingInputs,
-    StartObjectives,
-    displaced_replicas,
-    waiting_work,
-)
+from sandladder.autoscaling.waiting_work import displaced_replicas, waiting_work
 from sandladder.model import Machine
 from sandladder.scheduling import ClusterView, Shortage
 
@@ -138,7 +134,7 @@
         return dispensable(cluster_view, candidates, provisioned.cores.total, self._demand)
 
     def unresponsive(self, wall: float) -> list[str]:
-        """Instances of which nothing is heard any more; `wall`: the time of day, in seconds."""
+        """Instances without heartbeats of late; `wall`: the time of day, in seconds."""
         return unresponsive_instances(self._cluster_view, self._booted, wall)
 
     def describe_utilization(self) -> str:
--- a/src/sandladder/autoscaling/unresponsive.py
+++ b/src/sandladder/autoscaling/unresponsive.py
@@ -1,4 +1,4 @@
-"""Instances of which nothing is heard any more, and those that never came up."""
+"""Instances that send no heartbeats any more, and those that never came up."""
 
 from collections import Counter
 from collections.abc import Mapping
@@ -19,13 +19,13 @@
 def unresponsive_instances(
     cluster_view: ClusterView, booted: BootedMachines, wall: float
 ) -> list[str]:
-    """Instances that came up and of which no controller hears any more.
+    """Instances that came up and from which no controller receives heartbeats any more.
 
     Returning one to the cloud proves that what ran there has ended.
 
     Only when few are unresponsive: if many are, it is rather this controller that is cut off, or
     their zone, which works on inside.  Seen in a measured day: half of the instances were returned
-    with all that ran there.  A controller whose machine inventory is held up may still receive
+    with all that ran there.  A controller whose machine inventory is late may still receive
     heartbeats from some of these, so each is asked directly before anything is done (see
     `InstanceDrainer`).
 
--- a/src/sandladder/autoscaling/utilization.py
+++ b/src/sandladder/autoscaling/utilization.py
@@ -2,7 +2,7 @@
 
 from collections import Counter
 
-from sandladder.autoscaling.instance_states import RENTED
+from sandladder.autoscaling.instance_states import ACTIVE
 from sandladder.autoscaling.provisioned_capacity import BootedMachines
 from sandladder.scheduling import ClusterView
 
@@ -24,7 +24,7 @@
         for job, _, _ in cluster_view.cache.attempts_on(machine):
             cores[f"{market} for {job.spec.cls}"] += round(job.spec.cpus)
     for machine, record in cluster_view.cache.instances.items():
-        if record.state == RENTED and machine not in booted:
+        if record.state == ACTIVE and machine not in booted:
             cores[f"{_market(record.spot)} booting"] += round(types[record.type].cpus)
     return ", ".join(f"{name} {number}" for name, number in sorted(cores.items()))
 
--- a/src/sandladder/autoscaling/waiting_work.py
+++ b/src/sandladder/autoscaling/waiting_work.py
@@ -1,76 +1,22 @@
 """What new instances the waiting jobs are worth."""
 
 import math
-from collections import Counter
-from dataclasses import dataclass
 from typing import NamedTuple
 
 from sandladder.autoscaling.demand import CoreDemand
 from sandladder.autoscaling.instance_states import DRAINING
-from sandladder.autoscaling.offers import Offer, RefusedOffers, types_for
-from sandladder.autoscaling.provisioned_capacity import ProvisionedCapacity
-from sandladder.config import Settings
-from sandladder.model import (
-    HIGH,
-    PRODUCTION,
-    SERVICE,
-    Job,
-    JobSpec,
-    Machine,
-    TeamUsage,
-)
+from sandladder.autoscaling.scaling_inputs import ScalingInputs
+from sandladder.autoscaling.zone_choice import single_zone
+from sandladder.model import HIGH, PRODUCTION, SERVICE, Job, TeamUsage
 from sandladder.model import headroom as quota_headroom
-from sandladder.scheduling import (
-    Backlog,
-    Bin,
-    ClusterView,
-    Shortage,
-    ZoneShares,
-    allowed,
-    fill,
-    likeness,
-)
+from sandladder.scheduling import Backlog, Shortage, ZoneShares, fill, likeness
 
 # The share of the time that work may wait, past which spot instances are asked for.
 _PRESSING_SHARE = 0.1
-# Work without any objective may wait for so many worker leases.
-_DEFAULT_ALLOWANCE_LEASES = 10
 # How much longer than its estimate a task is expected to run.
 _ESTIMATE_MARGIN = 1.3
 
 
-class StartObjectives(NamedTuple):
-    """The objectives that say how late the tasks of a class may start; all times in seconds."""
-
-    waits: dict[str, float]  # by class, within how long its tasks should start
-    finishes: dict[str, list[float]]  # by class, within how long its jobs should be done
-    default_s: float  # for work without an objective
-
-    @staticmethod
-    def of(settings: Settings) -> "StartObjectives":
-        """The objectives of the platform's settings."""
-        lease_s = settings.platform.deployment.workers.lease_s
-        return StartObjectives(
-            settings.waits, settings.finishes, _DEFAULT_ALLOWANCE_LEASES * lease_s
-        )
-
-
-@dataclass(frozen=True)
-class ScalingInputs:
-    """What one round of decisions rests on."""
-
-    cluster_view: ClusterView
-    provisioned: ProvisionedCapacity  # its bins are filled as capacity is given out
-    refused: RefusedOffers
-    objectives: StartObjectives
-    wall: float  # the time of day, in seconds
-
-    @property
-    def bins(self) -> list[Bin]:
-        """The machines, with what is not given out yet."""
-        return self.provisioned.bins
-
-
 class WaitingWork(NamedTuple):
     """What the waiting jobs lack, the most urgent first, and how many cores they ask for."""
 
@@ -108,16 +54,12 @@
         if spec.kind != SERVICE:
             demand.add(waiting.tasks * spec.cpus, waiting.can_wait_for_boot)
         missing = _place(inputs, waiting, exhausted)
-        backlog.add(spec, waiting.tasks, spec.estimate_s or _lease_s(cluster_view))
+        backlog.add(spec, waiting.tasks, spec.estimate_s or inputs.lease_s)
         if missing:
             shortages += _worthwhile_shortages(inputs, waiting, missing, backlog)
     return WaitingWork(shortages, demand)
 
 
-def _lease_s(cluster_view: ClusterView) -> float:
-    return cluster_view.settings.platform.deployment.workers.lease_s
-
-
 def _startable(inputs: ScalingInputs, job: Job, usage_by_team: dict[str, TeamUsage]) -> _WaitingJob:
     """The waiting tasks that the team's limit lets start; adds them to the team's usage."""
     cluster_view, spec = inputs.cluster_view, job.spec
@@ -147,38 +89,6 @@
     return missing
 
 
-def single_zone(inputs: ScalingInputs, spec: JobSpec, tasks: int) -> ZoneShares:
-    """The zone in which tasks that must share one can start soonest.
-
-    The one with the most free capacity, if that is enough or more can be asked for there.
-    Without this, capacity for parts of a gang in several zones was counted as capacity for the
-    gang.
-    """
-    types = types_for(spec, inputs.cluster_view.cache.types.values())
-    capacity = Counter({zone: 0 for machine_type in types for zone in machine_type.zones})
-    for free in inputs.bins:
-        if allowed(spec, Machine(*free.offer, "up", 0.0)):
-            _, zone, _ = free.offer
-            capacity[zone] += free.tasks(spec, tasks)
-    by_capacity = sorted(capacity, key=lambda zone: (-capacity[zone], zone))
-    able = [
-        zone for zone in by_capacity if capacity[zone] >= tasks or _is_offered(inputs, spec, zone)
-    ]
-    chosen = next(iter(able or by_capacity), None)
-    return ZoneShares(tasks, Counter(), chosen)
-
-
-def _is_offered(inputs: ScalingInputs, spec: JobSpec, zone: str) -> bool:
-    """Whether an instance for such tasks may be had in a zone, as far as the cloud said."""
-    cluster_view = inputs.cluster_view
-    return any(
-        not inputs.refused.is_refused(Offer(machine_type.name, zone, spot), cluster_view.now)
-        for machine_type in types_for(spec, cluster_view.cache.types.values())
-        if zone in machine_type.zones
-        for spot in ([True, False] if spec.spot else [False])
-    )
-
-
 def _worthwhile_shortages(
     inputs: ScalingInputs, waiting: _WaitingJob, missing: int, backlog: Backlog
 ) -> list[Shortage]:
@@ -207,7 +117,7 @@
     left = work - capacity * horizon_s
     shortages = []
     if left > 0:
-        span_s = max(horizon_s - boot_s, spec.estimate_s or _lease_s(cluster_view))
+        span_s = max(horizon_s - boot_s, spec.estimate_s or inputs.lease_s)
         worth_any = min(missing, math.ceil(left / span_s / need))
         shortages.append(Shortage(spec, True, worth_any, zones))
         missing -= worth_any
--- /dev/null
+++ b/tests/test_autoscaler.py
@@ -0,0 +1,361 @@
+"""The autoscaler's parts: its lease, the records of instances, launches and what responds."""
+
+from collections.abc import Awaitable, Callable
+from dataclasses import replace
+from typing import Any
+
+import anyio
+import pytest
+
+from helpers import commit, scene
+from sandladder.autoscaling import CloudError, NoCapacityError, ScaleOutRequest, ScalingPolicy
+from sandladder.autoscaling.autoscaler_lease import AutoscalerLease
+from sandladder.autoscaling.controller_status import ControllerStatus
+from sandladder.autoscaling.demand import CoreDemand, DemandHistory
+from sandladder.autoscaling.instance_launcher import InstanceLauncher
+from sandladder.autoscaling.instance_records import InstanceRecordWriter
+from sandladder.autoscaling.instance_states import ACTIVE, DRAINING, GONE
+from sandladder.autoscaling.offers import Offer, RefusedOffers
+from sandladder.autoscaling.provisioned_capacity import BootedMachines
+from sandladder.autoscaling.unresponsive import boot_is_overdue, unresponsive_instances
+from sandladder.model import AgentHeartbeat, ListedMachine, Machine
+from sandladder.scheduling import ClusterView
+from sandladder.state import (
+    RENTER,
+    LeaseExpiredError,
+    PendingChange,
+    PreconditionFailedError,
+    StateCache,
+    StoreLimits,
+    Transaction,
+)
+from world import VirtualLoop, settings
+
+NODE, TTL_S = "node-0", 4.0
+STATUS = ControllerStatus(
+    records_loaded=lambda: True,
+    lease_alive=lambda: True,
+    isolated=lambda now: False,
+    uptime_s=lambda now: 100.0,
+    fencing_token=lambda: 7,
+    wall=lambda: 50.0,
+)
+REQUEST = ScaleOutRequest("small", "north", True, 2)
+
+
+def in_virtual_time(main: Callable[[], Awaitable[None]]) -> None:
+    anyio.run(main, backend_options={"loop_factory": VirtualLoop})
+
+
+class ImmediateCommitter:
+    """Commits each change at once, or refuses all."""
+
+    def __init__(self, cache: StateCache) -> None:
+        self.cache, self.refuses, self.names = cache, False, []
+
+    def add(self, change: PendingChange) -> "ImmediateCommitter":
+        self.change = change
+        return self
+
+    async def wait(self) -> None:
+        await anyio.sleep(0.1)
+        if self.refuses:
+            raise PreconditionFailedError("refused")
+        transaction = Transaction(self.cache)
+        if self.change.apply(transaction):
+            commit(self.cache, transaction)
+        self.names.append(self.change.name)
+
+
+class GrantingStore:
+    """Grants and renews leases until they are to have expired."""
+
+    def __init__(self) -> None:
+        self.granted, self.renewed, self.expired = 0, 0, False
+
+    async def grant_lease(self, ttl_s: float) -> int:
+        self.granted += 1
+        return self.granted
+
+    async def renew(self, lease: int) -> None:
+        if self.expired:
+            raise LeaseExpiredError
+        self.renewed += 1
+
+
+class LeaseScene:
+    """An autoscaler lease of which each collaborator can be looked at."""
+
+    def __init__(self, status: ControllerStatus = STATUS) -> None:
+        self.cache, self.store, self.acquisitions = StateCache(), GrantingStore(), 0
+        self.lease = AutoscalerLease(
+            NODE,
+            TTL_S,
+            self.cache,
+            self.store,
+            ImmediateCommitter(self.cache),
+            status,
+            self._acquired,
+        )
+
+    def _acquired(self) -> None:
+        self.acquisitions += 1
+
+    def write(self, node: str) -> None:
+        """Let a process of some controller write the autoscaler's key."""
+        version = self.cache.revision + 1
+        self.cache.apply(version, [(RENTER, node, version)])
+
+
+def test_a_free_lease_is_acquired_once_and_renewed_in_time() -> None:
+    async def main() -> None:
+        scene = LeaseScene()
+        assert await scene.lease.ensure() and scene.cache.autoscaler_node == NODE
+        assert await scene.lease.ensure()
+        assert (scene.store.granted, scene.store.renewed, scene.acquisitions) == (1, 0, 1)
+        for _ in range(20):
+            await anyio.sleep(TTL_S / 4)
+            assert await scene.lease.ensure()
+        assert scene.store.granted == 1 and scene.store.renewed >= 5
+
+    in_virtual_time(main)
+
+
+def test_a_lease_that_was_not_renewed_in_time_is_not_trusted() -> None:
+    async def main() -> None:
+        scene = LeaseScene()
+        assert await scene.lease.ensure()
+        await anyio.sleep(2 * TTL_S)
+        scene.store.expired = True
+        assert not await scene.lease.ensure() and not scene.lease.acquired
+        assert await scene.lease.ensure() and scene.store.granted == 2
+
+    in_virtual_time(main)
+
+
+def test_a_lease_of_another_controller_is_left_alone() -> None:
+    async def main() -> None:
+        scene = LeaseScene()
+        scene.write("node-1")
+        assert not await scene.lease.ensure()
+        assert scene.store.granted == 0 and scene.cache.autoscaler_node == "node-1"
+
+    in_virtual_time(main)
+
+
+def test_a_key_left_by_an_earlier_process_of_the_controller_is_taken_over() -> None:
+    async def main() -> None:
+        scene = LeaseScene()
+        scene.write(NODE)
+        assert await scene.lease.ensure()
+
+    in_virtual_time(main)
+
+
+def test_a_key_that_another_process_wrote_ends_the_lease() -> None:
+    async def main() -> None:
+        scene = LeaseScene()
+        assert await scene.lease.ensure()
+        scene.write(NODE)
+        assert not await scene.lease.ensure() and not scene.lease.acquired
+
+    in_virtual_time(main)
+
+
+def test_a_controller_without_its_own_lease_does_not_become_the_autoscaler() -> None:
+    async def main() -> None:
+        scene = LeaseScene(replace(STATUS, lease_alive=lambda: False))
+        assert not await scene.lease.ensure() and scene.store.granted == 0
+
+    in_virtual_time(main)
+
+
+def test_a_controller_that_no_agent_reaches_gives_the_lease_up() -> None:
+    isolated = False
+
+    async def main() -> None:
+        nonlocal isolated
+        scene = LeaseScene(replace(STATUS, isolated=lambda now: isolated))
+        assert await scene.lease.ensure()
+        isolated = True
+        assert not await scene.lease.ensure() and not scene.lease.acquired
+
+    in_virtual_time(main)
+
+
+def record(state: str) -> Machine:
+    return Machine("small", "north", True, state, 0.0)
+
+
+def writer(cache: StateCache, committer: ImmediateCommitter) -> InstanceRecordWriter:
+    state = settings(0, 1).platform.deployment.state
+    limits = StoreLimits(state, cache)
+    return InstanceRecordWriter(cache, committer, limits, state.value_bytes, interval_s=4.0)
+
+
+def test_records_are_written_together_and_proofs_of_loss_at_once() -> None:
+    async def main() -> None:
+        cache = StateCache()
+        committer = ImmediateCommitter(cache)
+        records = writer(cache, committer)
+        records.note({"vm-000001": record(ACTIVE), "vm-000002": record(ACTIVE)})
+        await records.flush()
+        assert set(cache.instances) == {"vm-000001", "vm-000002"} and not records.unwritten
+        records.note({"vm-000003": record(ACTIVE)})
+        await records.flush()
+        assert "vm-000003" not in cache.instances
+        assert records.record("vm-000003") == record(ACTIVE)
+        # A task is recorded on the first: that its instance is gone proves that it is lost.
+        cache.on_machine["vm-000001"] = {("job-000001", 0): None}
+        records.note({"vm-000001": record(GONE)})
+        await records.flush()
+        assert cache.instances["vm-000001"].state == GONE and "vm-000003" in cache.instances
+        assert len(committer.names) == 2
+
+    in_virtual_time(main)
+
+
+def test_changes_that_were_refused_are_kept_and_newer_ones_win() -> None:
+    async def main() -> None:
+        cache = StateCache()
+        committer = ImmediateCommitter(cache)
+        records = writer(cache, committer)
+        records.note({"vm-000001": record(ACTIVE), "vm-000002": record(ACTIVE)})
+        committer.refuses = True
+
+        async def note_meanwhile() -> None:
+            records.note({"vm-000001": record(DRAINING)})
+
+        async with anyio.create_task_group() as tasks:
+            tasks.start_soon(note_meanwhile)
+            with pytest.raises(PreconditionFailedError):
+                await records.flush()
+        assert records.unwritten == {
+            "vm-000001": record(DRAINING),
+            "vm-000002": record(ACTIVE),
+        }
+
+    in_virtual_time(main)
+
+
+class ScriptedCloud:
+    """Answers requests for instances from a list of outcomes."""
+
+    def __init__(self, *outcomes: Any) -> None:
+        self.outcomes, self.names = list(outcomes), []
+
+    async def create_instances(self, name: str, request: ScaleOutRequest) -> list[str]:
+        self.names.append(name)
+        outcome = self.outcomes.pop(0)
+        if isinstance(outcome, Exception):
+            raise outcome
+        return outcome
+
+
+class LaunchScene:
+    """A launcher with what it notes; the answers come from a script."""
+
+    def __init__(self, *outcomes: Any) -> None:
+        cluster_view, _, self.cache, _ = scene()
+        self.cloud, self.refused = ScriptedCloud(*outcomes), []
+        self.policy = ScalingPolicy(cluster_view)
+        self.policy.note_refused = self.refused.append  # type: ignore[method-assign]
+        self.records = writer(self.cache, ImmediateCommitter(self.cache))
+        self.launcher = InstanceLauncher(
+            NODE, self.cloud, self.policy, self.records, STATUS, retry_pause_s=1.0
+        )
+
+
+def test_a_request_without_an_answer_is_sent_again_under_its_name() -> None:
+    async def main() -> None:
+        scene = LaunchScene(CloudError("lost"), CloudError("lost"), ["vm-000001", "vm-000002"], [])
+        await scene.launcher.launch(REQUEST)
+        await scene.launcher.launch(REQUEST)
+        assert scene.cloud.names == ["node-0-7-1"] * 3 + ["node-0-7-2"]
+        created = Machine("small", "north", True, ACTIVE, 50.0)
+        assert scene.records.unwritten == {"vm-000001": created, "vm-000002": created}
+        assert scene.refused == [REQUEST]
+
+    in_virtual_time(main)
+
+
+def test_a_request_is_given_up_after_three_attempts() -> None:
+    async def main() -> None:
+        scene = LaunchScene(*[CloudError("lost")] * 3)
+        await scene.launcher.launch(REQUEST)
+        assert len(scene.cloud.names) == 3
+        assert not scene.records.unwritten and not scene.refused
+
+    in_virtual_time(main)
+
+
+@pytest.mark.parametrize("answer", [NoCapacityError("none"), ["vm-000001"]])
+def test_an_offer_without_enough_capacity_counts_as_refused(answer: Any) -> None:
+    async def main() -> None:
+        scene = LaunchScene(answer)
+        await scene.launcher.launch(REQUEST)
+        assert scene.refused == [REQUEST] and len(scene.cloud.names) == 1
+        assert list(scene.records.unwritten) == (answer if isinstance(answer, list) else [])
+
+    in_virtual_time(main)
+
+
+def zone_of(responsive: int, unresponsive: int) -> tuple[ClusterView, BootedMachines]:
+    """Instances in one zone, with heartbeats of late or without."""
+    cluster_view, _, cache, reconciler = scene()
+    booted = BootedMachines()
+    names = [f"vm-{number:06d}" for number in range(10, 10 + responsive + unresponsive)]
+    cache.instances.update(dict.fromkeys(names, record(ACTIVE)))
+    booted.observe(names, cache.instances)
+    cluster_view.now = 100.0
+    for name in names[:responsive]:
+        heartbeat = AgentHeartbeat(name, f"{name}:1", "small", "north", True, 1, 1, 1, None, ())
+        cluster_view.heard(reconciler.heard(heartbeat, 100.0, direct=False).agent)
+    return cluster_view, booted
+
+
+@pytest.mark.parametrize(
+    ("responsive", "unresponsive", "found"), [(3, 1, 1), (2, 2, 2), (1, 3, 0), (0, 1, 1), (0, 2, 0)]
+)
+def test_unresponsive_instances_are_believed_gone_unless_most_of_their_zone_is(
+    responsive: int, unresponsive: int, found: int
+) -> None:
+    """Seen in a measured day: half of the instances were returned with all that ran there."""
+    cluster_view, booted = zone_of(responsive, unresponsive)
+    instances = unresponsive_instances(cluster_view, booted, wall=100.0)
+    assert instances == [f"vm-{10 + responsive + number:06d}" for number in range(found)]
+
+
+def test_instances_that_never_came_up_or_are_gone_are_not_unresponsive() -> None:
+    cluster_view, booted = zone_of(3, 1)
+    cluster_view.cache.instances["vm-000013"] = record(GONE)
+    cluster_view.cache.instances["vm-000014"] = record(ACTIVE)
+    assert unresponsive_instances(cluster_view, booted, wall=100.0) == []
+
+
+def test_a_boot_is_overdue_after_four_times_the_usual() -> None:
+    _, _, cache, _ = scene()  # both types boot in 9 seconds
+    booting = ListedMachine("vm-1", "small", "north", True, "booting", 36.0, "vm-1:1")
+    assert not boot_is_overdue(booting, cache.types)
+    assert boot_is_overdue(booting._replace(age_s=36.1), cache.types)
+    assert not boot_is_overdue(booting._replace(age_s=99.0, state="running"), cache.types)
+    assert not boot_is_overdue(booting._replace(age_s=240.0, type="unknown"), cache.types)
+    assert boot_is_overdue(booting._replace(age_s=240.1, type="unknown"), cache.types)
+
+
+def test_an_offer_is_refused_for_as_long_as_was_said() -> None:
+    refused = RefusedOffers(retry_after_s=10.0)
+    refused.note(Offer("small", "north", True), now=5.0)
+    assert refused.is_refused(Offer("small", "north", True), now=14.9)
+    assert not refused.is_refused(Offer("small", "north", True), now=15.0)
+    assert not refused.is_refused(Offer("small", "north", False), now=14.9)
+
+
+def test_usual_demand_is_what_suffices_for_three_fifths_of_the_recent_samples() -> None:
+    history = DemandHistory(span_s=100.0)
+    assert history.usual_cores() == 0.0
+    for second in range(10):
+        history.record(CoreDemand(cannot_wait=second, can_wait=10.0), now=second)
+    assert history.usual_cores_that_cannot_wait() == 6.0 and history.usual_cores() == 16.0
+    history.record(CoreDemand(cannot_wait=1.0), now=200.0)
+    assert history.usual_cores() == 1.0
--- a/tests/test_autoscaling.py
+++ b/tests/test_autoscaling.py
@@ -16,6 +16,7 @@
     scale_out,
     waiting_work,
 )
+from sandladder.autoscaling.instance_states import ACTIVE
 from sandladder.config import TeamLimits
 from sandladder.jobs import submit
 from sandladder.model import AgentHeartbeat, Machine, MachineType
@@ -66,7 +67,7 @@
     requested = ScalingPolicy(cluster_view).rental_requests(0.0)
     unwritten = {
         f"vm-{request.zone}-{request.type}-{number}": Machine(
-            request.type, request.zone, request.spot, "rented", 0.0
+            request.type, request.zone, request.spot, ACTIVE, 0.0
         )
         for request in requested
         for number in range(request.number)
