--- /dev/null
+++ b/src/sandladder/agents/command_sender.py
@@ -0,0 +1,165 @@
+"""Commands that are sent to agents directly, ahead of their next heartbeat."""
+
+import logging
+import math
+from collections.abc import Iterable
+from typing import NamedTuple
+
+import anyio
+
+from sandladder import clock
+from sandladder.agents.agent_clients import AgentClients
+from sandladder.agents.agent_session import AgentSession, AttemptKey
+from sandladder.agents.collaborators import AgentRecords, SchedulerCallbacks
+from sandladder.agents.constants import FORGET, START
+from sandladder.agents.heartbeat_intake import HeartbeatIntake
+from sandladder.concurrency import BackgroundTasks
+from sandladder.membership import ControllerLease
+from sandladder.model import AgentHeartbeat, Command
+from sandladder.protocol import wire
+from sandladder.state import StateCache
+from sandladder.transport import HttpError
+
+log = logging.getLogger(__name__)
+
+_OK = 200
+# The key of the protocol under which a command names the agent's session.
+_SESSION_KEY = "shift"
+
+
+class _CommandBatch(NamedTuple):
+    """Commands that are sent together, under one fencing token."""
+
+    token: int
+    commands: list[Command]
+
+    @property
+    def has_start(self) -> bool:
+        return any(command.op == START for command in self.commands)
+
+
+class _CommandResponse(NamedTuple):
+    """How an agent answered: a status, and a heartbeat made after it took the commands in."""
+
+    status: int
+    heartbeat: AgentHeartbeat
+
+
+class CommandSender:
+    """Sends each agent its commands, one batch at a time."""
+
+    def __init__(
+        self,
+        report_interval_s: float,
+        background: BackgroundTasks,
+        clients: AgentClients,
+        agents: AgentRecords,
+        cache: StateCache,
+        controller_lease: ControllerLease,
+        scheduler: SchedulerCallbacks,
+        intake: HeartbeatIntake,
+    ) -> None:
+        self._timeout_s = report_interval_s
+        # An agent that did not answer is left alone for so long.
+        self._pause_s = report_interval_s / 2
+        self._background = background
+        self._clients = clients
+        self._reconciler = agents.reconciler
+        self._renewal_guard = agents.renewal_guard
+        self._cache = cache
+        self._controller_lease = controller_lease
+        self._scheduler = scheduler
+        self._intake = intake
+
+    def send_commands(self, agent: AgentSession) -> None:
+        """Send an agent its commands in the background, if there are any."""
+        if (
+            agent.command_in_flight
+            or not self._controller_lease.alive()
+            or not self._background.running
+        ):
+            return
+        commands = self._reconciler.commands(agent, self._cache)
+        if any(command.op != FORGET for command in commands):
+            agent.command_in_flight = True
+            self._background.start_soon(self._command, agent)
+
+    def stop_cancelled(self, job_ids: list[str]) -> None:
+        """Stop at once what runs of jobs that a peer says are cancelled, each committed so."""
+        for job_id in self._cache.tell(job_ids, clock.now()):
+            job = self._cache.jobs.get(job_id)
+            attempts = job.live.values() if job is not None else ()
+            for machine in dict.fromkeys(attempt.machine for attempt in attempts):
+                agent = self._reconciler.machines.get(machine)
+                if agent is not None:
+                    self.send_commands(agent)
+
+    async def _command(self, agent: AgentSession) -> None:
+        """Send one batch, and then whatever else has come up.
+
+        Cancelled, as this process ends, it leaves open whether the agent took the batch in.
+        """
+        machine = agent.report.machine
+        try:
+            more_to_send = await self._send_batch(agent)
+        finally:
+            agent.command_in_flight = False
+        if more_to_send and self._reconciler.machines.get(machine) is agent:
+            self.send_commands(agent)
+
+    async def _send_batch(self, agent: AgentSession) -> bool:
+        """Send the commands that follow from the records now; whether there are more to send."""
+        commands = self._reconciler.commands(agent, self._cache)
+        if not commands or not self._controller_lease.alive():
+            return False
+        batch = _CommandBatch(self._reconciler.term, commands)
+        if batch.has_start:
+            known_until = self._renewal_guard.cancellations_known_until()
+            agent.late_start_known_until = min(agent.late_start_known_until, known_until)
+        response = await self._request(agent, batch)
+        if response is None:
+            if batch.has_start:
+                agent.stale_start_token = batch.token
+            await anyio.sleep(self._pause_s)
+            return False
+        return self._take_in(agent, batch, response)
+
+    async def _request(self, agent: AgentSession, batch: _CommandBatch) -> _CommandResponse | None:
+        """Send a batch; None if no usable response came, and the agent may have taken it in."""
+        machine, addr = agent.report.machine, agent.report.addr
+        body = wire.commands_value(batch.token, batch.commands) | {_SESSION_KEY: agent.session}
+        try:
+            response = await self._clients.get(machine, addr).request(
+                "POST", wire.COMMANDS, wire.dumps(body), timeout=self._timeout_s
+            )
+            return _CommandResponse(response.status, wire.parse_report(wire.loads(response.body)))
+        except (HttpError, wire.MalformedMessageError) as error:
+            log.info("machine %s did not answer a command: %s", machine, error)
+            return None
+
+    def _take_in(
+        self, agent: AgentSession, batch: _CommandBatch, response: _CommandResponse
+    ) -> bool:
+        """Take in the response to a batch; whether there are more commands to send at once."""
+        machine, heartbeat = agent.report.machine, response.heartbeat
+        if heartbeat.machine != machine:
+            log.warning("%s answers at the address of %s", heartbeat.machine, machine)
+            return False
+        self._intake.receive(heartbeat, direct=True)
+        if agent.stale_start_token is None:
+            agent.late_start_known_until = math.inf
+        if response.status != _OK:
+            if heartbeat.token > batch.token:
+                self._reconciler.revoke_token(machine)
+            return False
+        self._scheduler.record_ended_attempts(
+            self._reconciler.proved_never_started(agent, self._cache, batch.commands, batch.token)
+        )
+        # What was just sent and is under way needs no repeating before the next heartbeat.
+        remaining = self._reconciler.commands(agent, self._cache)
+        return not _keys(remaining) <= _keys(batch.commands)
+
+
+def _keys(commands: Iterable[Command]) -> set[AttemptKey]:
+    """The attempts that commands start or stop."""
+    return {(c.job, c.task, c.attempt) for c in commands if c.op != FORGET}
--- /dev/null
+++ b/src/sandladder/agents/heartbeat_endpoint.py
@@ -0,0 +1,117 @@
+"""The endpoint to which agents send their heartbeats."""
+
+from typing import NamedTuple
+
+from sandladder.agents.agent_redirect import AgentRedirect
+from sandladder.agents.agent_session import AgentSession
+from sandladder.agents.collaborators import ClusterObservations, ControllerGroup, StoreAccess
+from sandladder.agents.constants import START
+from sandladder.agents.heartbeat_intake import HeartbeatIntake
+from sandladder.agents.lease_renewal import LeaseRenewer
+from sandladder.agents.reconciler import Reconciler
+from sandladder.model import AgentHeartbeat
+from sandladder.protocol import wire
+from sandladder.transport import Request, Response, peer_transport
+
+# The statuses of the protocol's responses.
+_OK = 200
+_MALFORMED = 400
+_REDIRECTED = 421
+_OUTDATED = 503
+
+
+class _PublishedState(NamedTuple):
+    """What the other controllers should soon know of a machine."""
+
+    session: int
+    on_notice: bool
+    failed_jobs: int
+
+
+class HeartbeatEndpoint:
+    """Answers heartbeats: with commands and a renewed lease, or with a redirect."""
+
+    def __init__(
+        self,
+        group: ControllerGroup,
+        store: StoreAccess,
+        reconciler: Reconciler,
+        cluster: ClusterObservations,
+        renewer: LeaseRenewer,
+        redirect: AgentRedirect,
+        intake: HeartbeatIntake,
+    ) -> None:
+        self._group = group
+        self._store = store
+        self._reconciler = reconciler
+        self._cluster = cluster
+        self._renewer = renewer
+        self._redirect = redirect
+        self._intake = intake
+
+    async def handle(self, request: Request) -> Response:
+        """Answer one heartbeat.
+
+        Waits at most for a later fencing token, if the agent has accepted one above ours.
+        Cancelled there, it has taken nothing in.
+        """
+        try:
+            heartbeat = wire.parse_report(wire.loads(request.body))
+        except wire.MalformedMessageError as error:
+            return Response(_MALFORMED, wire.error_body(str(error)))
+        redirected = self._redirect_elsewhere(heartbeat)
+        if redirected is not None:
+            return redirected
+        if heartbeat.token > self._reconciler.term:
+            raised = await self._group.controller_lease.rise_above(heartbeat.token)
+            if not raised:
+                return _redirect_response(None)
+        return self._accept(heartbeat)
+
+    def _redirect_elsewhere(self, heartbeat: AgentHeartbeat) -> Response | None:
+        """The response that redirects an agent to another controller, if it should go there."""
+        peers = self._group.peers
+        if not self._renewer.permitted():
+            return _redirect_response(peers.abler())
+        if not self._store.reachable() and (peer := peers.abler()):
+            # Commands for the agent are not known here any more, and a peer can read them.
+            return _redirect_response(peer)
+        if (node := self._redirect.target(heartbeat)) is not None:
+            return _redirect_response(node)
+        return None
+
+    def _accept(self, heartbeat: AgentHeartbeat) -> Response:
+        """Take in the heartbeat of an agent that reports here, and answer it."""
+        self._redirect.accept(heartbeat)
+        known = self._reconciler.machines.get(heartbeat.machine)
+        before = None if known is None else _published_state(known)
+        agent = self._intake.receive(heartbeat, direct=False)
+        if agent is None:
+            return Response(_OUTDATED, wire.error_body("a newer report is known"))
+        if before != _published_state(agent):
+            self._publish(agent)
+        commands = self._reconciler.answer(agent, self._store.cache)
+        if not self._renewer.renew(agent):
+            return _redirect_response(None)
+        if any(command.op == START for command in commands):
+            agent.start_in_response = True
+        return Response(_OK, wire.dumps(wire.commands_value(self._reconciler.term, commands)))
+
+    def _publish(self, agent: AgentSession) -> None:
+        """Send the others a machine that came or changed, ahead of this controller's inventory."""
+        machine = agent.report.machine
+        observation = self._cluster.observation(machine)
+        if observation is None:
+            return
+        for connection in self._group.peers.connections.values():
+            connection.send(
+                peer_transport.MachineUpdate(self._group.node, machine, observation.seen)
+            )
+
+
+def _published_state(agent: AgentSession) -> _PublishedState:
+    return _PublishedState(agent.session, agent.notice_at is not None, len(agent.failed))
+
+
+def _redirect_response(node: str | None) -> Response:
+    return Response(_REDIRECTED, wire.redirect_body(node))
--- a/src/sandladder/agents/lease_expiry.py
+++ b/src/sandladder/agents/lease_expiry.py
@@ -1,146 +1,208 @@
-"""The proof that an agent's lease has expired, whoever may have renewed it."""
+"""The proof that an agent's lease has expired, whichever controller may have renewed it.
+
+All times are in seconds on this controller's steady clock.  Pure: no I/O, no clock.
+"""
 
 import math
 from collections import deque
-from collections.abc import Collection, Iterable, Iterator
+from collections.abc import Collection, Iterable, Iterator, Mapping
 from typing import NamedTuple
 
 from sandladder.model import MachineInventory
 
+# The steady clocks of two machines drift apart, and timers are coarse.
+_CLOCK_MARGIN = 1.02
+# For how many leases an inventory lists the last answer to an agent.
+_LISTED_LEASES = 2
+# How many readings of the store are remembered, and how far apart, as a part of a lease.
+_READINGS_KEPT = 512
+_READINGS_PER_LEASE = 100
+
+
+class PeerInventory(NamedTuple):
+    """Another controller's inventory as it stands in the records."""
 
-class _Statement(NamedTuple):
+    node: str
     inventory: MachineInventory
-    observed: float  # when it reached us
-    made: float  # no later than when it was made
+    received_at: float
+
+
+class _Observation(NamedTuple):
+    """An inventory, and between which times it was made."""
+
+    inventory: MachineInventory
+    received_at: float
+    made_after: float  # no later than when it was made
+
+
+class _AnswerBounds(NamedTuple):
+    """What is known of one controller's answers to an agent."""
+
+    last_answer_at: float  # no earlier than its last answer
+    complete_until: float  # up to then it gave no other
+
+
+class _StoreReading(NamedTuple):
+    """A reading of the store, and the revision that it reached."""
+
+    sent_at: float
+    revision: int
 
 
 class LeaseExpiryProof:
-    """Proves that a silent machine's lease has run out, whoever may have answered it.
+    """Proves that a silent agent's lease has expired, whichever controller may have answered it.
 
-    A worker kills its tasks when no report of it was answered for the lease.  So the proof
+    An agent kills its tasks when none of its heartbeats was answered for the lease.  So the proof
     needs one interval as long as the lease in which *no* controller answered.  For each
-    controller we know an upper bound of its last answer to the machine and a time up to
-    which that is its whole story; the interval is what these have in common.  All times are
-    on our steady clock.
+    controller we know an upper bound of its last answer to the agent and a time up to
+    which there was no other; the interval is what these have in common.
     """
 
     def __init__(
         self, node: str, nodes: list[str], lease_s: float, started: float, process: int = 0
     ) -> None:
+        """Begin without any knowledge of answers.
+
+        Args:
+            node: this controller, among all that the settings name: `nodes`.
+            lease_s: how long an agent's lease lasts.
+            started: when this process began.
+            process: tells this process from others under the same name.
+        """
         self._node = node
         self._process = process
-        # What stands under our name is another process's, which may have answered anyone.
-        self._doubled = False
-        self._read = -math.inf  # when the latest reading was sent
-        self._others = [name for name in nodes if name != node]
-        # The steady clocks of two machines drift apart, timers are coarse.
-        self.needed_s = lease_s * 1.02
-        self.listed_s = lease_s * 2
+        # The inventory under our name is another process's, which may have answered any agent.
+        self._name_taken = False
+        self._last_read_at = -math.inf  # when the latest reading of the store was sent
+        self._peers = [name for name in nodes if name != node]
+        self._needed_s = lease_s * _CLOCK_MARGIN
+        self._listed_s = lease_s * _LISTED_LEASES
         self._started = started
-        self._answered: dict[str, float] = {}
-        self._statements: dict[str, _Statement] = {}
-        self._absent: dict[str, float] = {}
+        self._answered_at: dict[str, float] = {}
+        self._observations: dict[str, _Observation] = {}
+        self._absent_since: dict[str, float] = {}
         # By machine and session, since when we know that this session had begun.
-        self._began: dict[tuple[str, int], float] = {}
-        self._history: deque[tuple[float, int]] = deque(maxlen=512)
+        self._known_since: dict[tuple[str, int], float] = {}
+        self._readings: deque[_StoreReading] = deque(maxlen=_READINGS_KEPT)
 
-    def answered(self, machine: str, now: float) -> None:
-        """We are about to answer this machine with a token."""
-        self._answered[machine] = now
+    # This controller's own answers
+
+    def record_answer(self, machine: str, now: float) -> None:
+        """This controller is about to answer the agent on a machine with its fencing token."""
+        self._answered_at[machine] = now
 
     def age(self, machine: str, now: float) -> float | None:
-        """How long ago we answered it, while that is worth listing."""
-        last = self._answered.get(machine)
-        if last is None or now - last > self.listed_s:
-            self._answered.pop(machine, None)
+        """How many seconds ago this controller answered, while that is worth listing."""
+        answered_at = self._answered_at.get(machine)
+        if answered_at is None or now - answered_at > self._listed_s:
+            self._answered_at.pop(machine, None)
             return None
-        return now - last
+        return now - answered_at
 
     def machines(self) -> list[str]:
-        return list(self._answered)
+        """The machines whose agents this controller answered of late."""
+        return list(self._answered_at)
 
     def up_s(self, now: float) -> float:
+        """For how many seconds this process has been running."""
         return now - self._started
 
-    def holds(self, held: Iterable[tuple[str, int]], now: float) -> None:
-        """These sessions hold committed starts, so they have begun; others are forgotten.
+    # What the records show
+
+    def observe_sessions(self, sessions: Mapping[str, Iterable[int]], now: float) -> None:
+        """Sessions with committed starts, by machine, so they have begun; others are forgotten.
 
-        To be told all the while, not only once a machine is silent: a proof counts from here.
+        To be called all the while, not only once an agent is silent: a proof counts from here.
         """
-        self._began = {key: self._began.get(key, now) for key in held}
+        self._known_since = {
+            (machine, session): self._known_since.get((machine, session), now)
+            for machine, numbers in sessions.items()
+            for session in numbers
+        }
 
     def synced(self, sent: float, revision: int) -> None:
-        """A reading sent then reached this revision."""
-        self._read = max(self._read, sent)
-        if not self._history or sent - self._history[-1][0] > self.needed_s / 100:
-            self._history.append((sent, revision))
+        """A reading of the store that was sent then reached this revision."""
+        self._last_read_at = max(self._last_read_at, sent)
+        readings = self._readings
+        if not readings or sent - readings[-1].sent_at > self._needed_s / _READINGS_PER_LEASE:
+            readings.append(_StoreReading(sent, revision))
 
     def observe(
         self, nodes: dict[str, MachineInventory], now: float, unreadable_nodes: Collection[str] = ()
     ) -> None:
-        """Take in the summaries that stand in the records now.
+        """Take in the inventories that are in the records now.
 
-        A controller whose summary cannot be read lives, and may have answered anyone.
+        A controller whose inventory cannot be read is running, and may have answered any agent.
         """
         own = nodes.get(self._node)
-        self._doubled = self._node in unreadable_nodes or (
+        self._name_taken = self._node in unreadable_nodes or (
             own is not None and own.process != self._process
         )
-        for name in self._others:
-            inventory = nodes.get(name)
-            known = self._statements.get(name)
+        for name in self._peers:
             if name in unreadable_nodes:
-                self._statements.pop(name, None)
-                self._absent.pop(name, None)
-                continue
-            if inventory is None:
-                self._statements.pop(name, None)
-                # The hold behind the summary has ended, so its owner had stopped by now.
-                self._absent.setdefault(name, now)
-                continue
-            self._absent.pop(name, None)
-            if known is None or known.inventory is not inventory:
-                made = self._not_before(inventory.revision)
-                self._statements[name] = _Statement(inventory, now, made)
-
-    def statements(self) -> Iterator[tuple[str, MachineInventory, float]]:
-        """The other controllers' summaries and when they reached us."""
-        for node, statement in self._statements.items():
-            yield node, statement.inventory, statement.observed
+                self._observations.pop(name, None)
+                self._absent_since.pop(name, None)
+            else:
+                self._observe_peer(name, nodes.get(name), now)
+
+    def _observe_peer(self, name: str, inventory: MachineInventory | None, now: float) -> None:
+        known = self._observations.get(name)
+        if inventory is None:
+            self._observations.pop(name, None)
+            # The controller's lease that the inventory was attached to has expired, so its owner
+            # had stopped answering by now.
+            self._absent_since.setdefault(name, now)
+            return
+        self._absent_since.pop(name, None)
+        if known is None or known.inventory is not inventory:
+            made_after = self._not_before(inventory.revision)
+            self._observations[name] = _Observation(inventory, now, made_after)
+
+    def statements(self) -> Iterator[PeerInventory]:
+        """The other controllers' inventories."""
+        for node, observation in self._observations.items():
+            yield PeerInventory(node, observation.inventory, observation.received_at)
 
     def _not_before(self, revision: int) -> float:
         """A time at which the store had not yet reached this revision.
 
-        A summary names the revision its writer had seen, so it was made after that.
+        An inventory names the revision that its writer had read, so it was made after that.
         """
-        for sent, reached in reversed(self._history):
-            if reached < revision:
-                return sent
-        return float("-inf")
-
-    def lost(self, machine: str, session: int, now: float) -> bool:
-        """Whether everything that the machine ran in a session is surely gone."""
-        last = self._answered.get(machine, max(self._started, now - self.listed_s))
-        # A machine that came up after a summary was made is missing there, and alive: only
-        # what follows the beginning of its session counts.  Seen in a measured day, where a
-        # task ran twice after a peer's word on a new machine came before its summary.
-        last = max(last, self._began.get((machine, session), now))
-        # Our own word counts only as far as no other process stands under our name: one that
-        # did answered this machine while we heard nothing of it, and we proved it lost.  Seen
-        # in the stand-in world.
-        if self._doubled:
+        for reading in reversed(self._readings):
+            if reading.revision < revision:
+                return reading.sent_at
+        return -math.inf
+
+    # The proof
+
+    def has_expired(self, machine: str, session: int, now: float) -> bool:
+        """Whether everything that the agent of a machine ran in a session is surely gone."""
+        # This process' own answers count only while no other process runs under our name: one that
+        # did answered an agent from which we received nothing, and we proved its lease expired.
+        # Seen in the simulation.
+        if self._name_taken:
             return False
-        until = min(now, self._read)
-        for name in self._others:
-            statement = self._statements.get(name)
-            if statement is None:
-                absent = self._absent.get(name)
-                if absent is None:
-                    return False
-                last = max(last, absent)
-                continue
-            seen = statement.inventory.machines.get(machine)
-            silent = seen.age_s if seen else min(statement.inventory.up_s, self.listed_s)
-            last = max(last, statement.observed - silent)
-            until = min(until, statement.made)
-        return until - last >= self.needed_s
+        last_answer_at = self._answered_at.get(machine, max(self._started, now - self._listed_s))
+        # An agent that started after an inventory was made is missing there, and running: only
+        # what follows the beginning of its session counts.  Seen in a measured day: a task ran
+        # twice after a peer's message on a new machine came before the peer's inventory.
+        last_answer_at = max(last_answer_at, self._known_since.get((machine, session), now))
+        complete_until = min(now, self._last_read_at)
+        for name in self._peers:
+            bounds = self._answers_of(name, machine)
+            if bounds is None:
+                return False
+            last_answer_at = max(last_answer_at, bounds.last_answer_at)
+            complete_until = min(complete_until, bounds.complete_until)
+        return complete_until - last_answer_at >= self._needed_s
+
+    def _answers_of(self, name: str, machine: str) -> _AnswerBounds | None:
+        """The bounds that hold for another controller; None: it may have answered at any time."""
+        observation = self._observations.get(name)
+        if observation is None:
+            absent_since = self._absent_since.get(name)
+            return None if absent_since is None else _AnswerBounds(absent_since, math.inf)
+        inventory = observation.inventory
+        listed = inventory.machines.get(machine)
+        silent_s = listed.age_s if listed else min(inventory.up_s, self._listed_s)
+        return _AnswerBounds(observation.received_at - silent_s, observation.made_after)
--- a/src/sandladder/agents/lease_renewal_guard.py
+++ b/src/sandladder/agents/lease_renewal_guard.py
@@ -1,15 +1,19 @@
-"""How long workers may be kept on: by what this controller knows of cancellations.  Pure.
-
-A worker's lease ends `lease_s` after the last answered report was sent, and the tasks of a
-cancelled job must be gone within `cancel_s` of the word to its user.  So a controller answers a
-report only while all cancellations that were confirmed up to a moment are known to it, and that
-moment is less than `cancel_s - lease_s` ago: the cancellations that it knows are stopped with the
-answer, those that it does not know were confirmed later, and the lease ends in time for them.
-
-Such a moment is when its newest reading of the state service was *sent*.  In an outage the others'
-words go on from there: each beat names the cancelled jobs that its sender knows, and the latest
-stamp that it heard of ours, so it was made after that.  Nobody's silence counts, nor the word of a
-process that we first heard after that reading: what its predecessor confirmed is not in it.
+"""Until when agents' leases may be renewed, by what this controller knows of cancellations.
+
+An agent's lease ends `lease_s` after its last answered heartbeat was sent, and the tasks of a
+cancelled job must be gone within `cancel_s` of the confirmation to its user.  So a controller
+answers a heartbeat only while all cancellations that were confirmed up to a moment are known to
+it, and that moment is less than `cancel_s - lease_s` ago: the cancellations that it knows are
+stopped with the answer, those that it does not know were confirmed later, and the lease ends in
+time for them.
+
+Such a moment is when its newest reading of the store was *sent*.  In an outage the heartbeats of
+the other controllers carry it on from there: each names the cancelled jobs that its sender knows
+and acknowledges the latest clock reading of ours that its sender received, so it was made after
+that.  A controller's silence proves nothing, and neither do the heartbeats of a process whose first
+came after that reading of the store: what its predecessor confirmed is not in them.
+
+All times are in seconds on this controller's steady clock.  Pure: no I/O, no clock.
 """
 
 import math
@@ -20,29 +24,38 @@
 
 
 class _Peer:
-    """What another controller's words prove."""
+    """What another controller's heartbeats prove."""
 
     def __init__(self) -> None:
         self.process: int | None = None
-        self.since = math.inf  # when we first heard this process
-        self.known = -math.inf  # what it had confirmed by then we know
+        self.first_heartbeat_at = math.inf  # of this process
+        self.known_until = -math.inf  # what it had confirmed by then we know
 
 
 class LeaseRenewalGuard:
-    """Up to which moment this controller surely knows all cancellations told to users."""
+    """Up to which moment this controller surely knows all cancellations confirmed to users."""
 
     def __init__(
         self, node: str, peers: Iterable[str], process: int, workers: WorkerSettings
     ) -> None:
+        """Begin without any knowledge: no lease may be renewed.
+
+        Args:
+            node: this controller.
+            peers: all others that the settings name.
+            process: tells this process from others under the same name.
+            workers: how long leases and cancellations may take.
+        """
         self._node, self._process = node, process
         self._peers = {name: _Peer() for name in peers}
-        self._age_s = workers.knowledge_s
-        self._read = -math.inf  # when our newest reading of the state service was sent
-        self.echoes: dict[str, ClockReading] = {}  # the latest stamp heard of each peer
+        self._max_age_s = workers.knowledge_s
+        self._last_read_at = -math.inf  # when our newest reading of the store was sent
+        # The latest clock reading received of each peer, to be acknowledged to it.
+        self.echoes: dict[str, ClockReading] = {}
 
     def read(self, sent: float) -> None:
-        """A reading of the state service that was sent then has come."""
-        self._read = max(self._read, sent)
+        """The response to a reading of the store that was sent then has come."""
+        self._last_read_at = max(self._last_read_at, sent)
 
     def heard(
         self,
@@ -52,43 +65,63 @@
         whole: bool,
         now: float,
     ) -> None:
-        """A beat came; `whole`: it named all cancelled jobs that its sender knows."""
+        """Take in a heartbeat of another controller.
+
+        Args:
+            node: its sender.
+            stamp: when its sender made it, on the sender's clock.
+            echoes: the clock readings that its sender acknowledges.
+            whole: whether it names all cancelled jobs that its sender knows.
+            now: when it came.
+        """
         peer = self._peers.get(node)
         if peer is None:
             return
         self.echoes[node] = stamp
         if peer.process != stamp.process:
-            peer.process, peer.since, peer.known = stamp.process, now, -math.inf
-        echo = echoes.get(self._node)
-        if whole and echo is not None and echo.process == self._process:
-            peer.known = max(peer.known, echo.at)
-
-    def _told(self, peer: _Peer) -> float:
-        # Strictly: one that was ended and back within the clock's resolution would pass else, and
-        # what its predecessor had confirmed be missed.  Found by the search of the model.
-        return peer.known if peer.since < self._read else -math.inf
-
-    def known_at(self) -> float:
+            peer.process, peer.first_heartbeat_at = stamp.process, now
+            peer.known_until = -math.inf
+        acknowledged = echoes.get(self._node)
+        if whole and acknowledged is not None and acknowledged.process == self._process:
+            peer.known_until = max(peer.known_until, acknowledged.at)
+
+    def _known_until(self, peer: _Peer) -> float:
+        """All cancellations that this peer, in any process, confirmed up to then are known here."""
+        # Strictly: a process that ended and was replaced within the clock's resolution would pass
+        # else, and what it had confirmed be missed.  Found by the search of the model.
+        if peer.first_heartbeat_at < self._last_read_at:
+            return peer.known_until
+        return -math.inf
+
+    def cancellations_known_until(self) -> float:
         """All cancellations that were confirmed to users up to then are known here."""
-        # Alone we have confirmed them all ourselves.
-        told = min((self._told(peer) for peer in self._peers.values()), default=math.inf)
-        return max(self._read, told) if self._read > -math.inf else -math.inf
-
-    def open(self, now: float, unsure: float = math.inf) -> bool:
-        """Whether a report may be answered so that the worker's lease goes on.
-
-        `unsure`: a start that may still arrive at the machine was sent on what was known then.
+        if self._last_read_at == -math.inf:
+            return -math.inf
+        # Without peers we have confirmed them all ourselves.
+        by_peers = min((self._known_until(peer) for peer in self._peers.values()), default=math.inf)
+        return max(self._last_read_at, by_peers)
+
+    def permits_renewal(self, now: float, late_start_known_until: float = math.inf) -> bool:
+        """Whether a heartbeat may be answered, so that the agent's lease is renewed.
+
+        Args:
+            now: when the answer is decided on.
+            late_start_known_until: up to when cancellations were known when a start was sent that
+                may still arrive at the agent; infinite: there is none.
         """
-        return now - min(self.known_at(), unsure) <= self._age_s
-
-    def reason(self, now: float) -> str:
-        """Why it is closed, or what keeps it open."""
-        silent = [
-            f"{name} not for {now - told:.1f} s" if told > -math.inf else f"{name} not since then"
+        known_until = min(self.cancellations_known_until(), late_start_known_until)
+        return now - known_until <= self._max_age_s
+
+    def explain(self, now: float) -> str:
+        """Why leases may not be renewed, or on what their renewal rests."""
+        missing = [
+            f"{name} not for {now - known_until:.1f} s"
+            if known_until > -math.inf
+            else f"{name} not since then"
             for name, peer in self._peers.items()
-            if now - (told := self._told(peer)) > self._age_s
+            if now - (known_until := self._known_until(peer)) > self._max_age_s
         ]
         return (
-            f"the state service was read {now - self._read:.1f} s ago; "
-            f"what the others confirmed since: {', '.join(silent) or 'told by all'}"
+            f"the store was last read {now - self._last_read_at:.1f} s ago; cancellations "
+            f"confirmed by the other controllers since: {', '.join(missing) or 'all known'}"
         )
--- a/src/sandladder/controller/controller.py
+++ b/src/sandladder/controller/controller.py
@@ -9,10 +9,19 @@
 from anyio.abc import TaskGroup
 
 from sandladder import clock
-from sandladder.agents import AgentService, LeaseExpiryProof, LeaseRenewalGuard, Reconciler
+from sandladder.agents import (
+    AgentRecords,
+    AgentService,
+    ControllerGroup,
+    LeaseExpiryProof,
+    LeaseRenewalGuard,
+    Reconciler,
+    SchedulerCallbacks,
+    StoreAccess,
+)
 from sandladder.api import JobApi
 from sandladder.autoscaling import Autoscaler, CloudClient
-from sandladder.concurrency import Signal
+from sandladder.concurrency import BackgroundTasks, Signal
 from sandladder.config import Settings, split_addr
 from sandladder.jobs import DependencyResolver, JobCommitter, stop
 from sandladder.membership import (
@@ -99,7 +108,6 @@
         self.preemption = PreemptionPolicy(self.planner)
         self.controller_lease = ControllerLease(self)
         self.peers = PeerService(self)
-        self.agent_service = AgentService(self)
         self.job_api = JobApi(self)
         self.job_committer = JobCommitter(self)
         self.dependency_resolver = DependencyResolver(self)
@@ -150,11 +158,29 @@
         self.plan_due = Signal()
         self._urgent_due = Signal()  # something that must start at once waits
         self.tasks: TaskGroup | None = None
+        self.background = BackgroundTasks()
+        self.agent_service = AgentService(
+            workers,
+            connect,
+            self.background,
+            AgentRecords(self.reconciler, self.lease_expiry, self.renewal_guard),
+            StoreAccess(self.cache, self.watch, self.store_reachable),
+            ControllerGroup(self.node, self.controller_lease, self.membership, self.peers),
+            SchedulerCallbacks(
+                cluster=self.cluster_view,
+                advance_time=self._advance_time,
+                record_ended_attempts=self.job_committer.collect,
+                commit_due_ends=self.job_committer.sweep,
+                avoided_machines=self.planner.avoid,
+                request_planning=self.plan_due.set,
+            ),
+        )
 
     async def run(self) -> None:
         """Serve until cancelled."""
         async with anyio.create_task_group() as tasks:
             self.tasks = tasks
+            self.background.open(tasks)
             self._listen(tasks)
             for duty in (
                 self.watch.run,
@@ -345,5 +371,10 @@
                 self.committer.queued,
             )
 
+    def _advance_time(self) -> float:
+        """Have the cluster view answer as of now; that moment, in seconds on the steady clock."""
+        self.cluster_view.now = clock.now()
+        return self.cluster_view.now
+
     def store_reachable(self) -> bool:
         return clock.now() - self.store.ok_at < self.report_s / 2
--- a/tests/test_fence_model.py
+++ b/tests/test_lease_renewal_guard_model.py
@@ -1,9 +1,9 @@
-"""A small model of the fence, searched exhaustively: one worker, its leader and two other controllers.
+"""A model of lease renewal, searched exhaustively: one agent, its controller and two others.
 
-Time goes in ticks.  The state service, the mesh and the processes do nothing unless the search lets
-them, so every refusal, outage, cut, freeze and late answer is among the histories.  The bound: no
-task is there more than `CANCEL` ticks after a user was told that its job is cancelled.  The leader's
-decisions are `sandladder.fence`'s own.
+Time goes in ticks.  The store, the network and the processes do nothing unless the search lets
+them, so every refusal, outage, partition, freeze and late response is among the histories.  The
+bound: no task runs more than `CANCEL` ticks after the cancellation of its job was confirmed to a
+user.  The controller's decisions are those of `LeaseRenewalGuard` itself.
 """
 
 from collections.abc import Iterator
@@ -24,31 +24,35 @@
 
     process: int = 1
     knows: bool = False  # that the job is cancelled
-    heartbeat: tuple[int, int] | None = None  # under way: process and echo, made without knowing
+    # Under way, made without knowing: its process, and the clock reading that it acknowledges.
+    heartbeat: tuple[int, int] | None = None
 
 
 class World(NamedTuple):
+    """One state of the model; `a` is the agent's controller."""
+
     t: int = 0
-    told: int | None = None  # when the cancellation was committed, and a user told at once
-    lease: int = 0  # of the worker, from when; its task is there until it runs out
+    confirmed_at: int | None = None  # when the cancellation was committed, and at once confirmed
+    lease: int = 0  # of the agent, from when; its task runs until it expires
     reading: tuple[int, bool] | None = None  # under way: when it was sent, whether carried out
-    read: float = 0.0
+    last_read_at: float = 0.0
     peers: tuple[tuple[int, float, float], ...] = ((1, -1.0, 0.0), (1, -1.0, 0.0))
     others: tuple[Other, ...] = (Other(), Other())
 
 
 class OneForAll(LeaseRenewalGuard):
-    """Planted: the word of one peer counts for all."""
+    """Planted: the heartbeats of one peer count for all."""
 
-    def known_at(self) -> float:
-        return max(self._read, *(self._told(peer) for peer in self._peers.values()))
+    def cancellations_known_until(self) -> float:
+        known = (self._known_until(peer) for peer in self._peers.values())
+        return max(self._last_read_at, *known)
 
 
 class AnyProcess(LeaseRenewalGuard):
-    """Planted: whoever speaks under a peer's name speaks for all its processes."""
+    """Planted: a heartbeat under a peer's name counts for all its processes."""
 
-    def _told(self, peer) -> float:
-        return peer.known
+    def _known_until(self, peer) -> float:
+        return peer.known_until
 
 
 class Search:
@@ -58,47 +62,50 @@
         self,
         kind: type[LeaseRenewalGuard] = LeaseRenewalGuard,
         *,
-        late: bool = False,
-        heard: bool = False,
+        reading_counts_from_response: bool = False,
+        heartbeat_counts_from_arrival: bool = False,
     ):
         self.kind = kind
-        self.late = late  # a reading counts from its answer
-        self.heard = heard  # a beat counts from its arrival
+        self.reading_counts_from_response = reading_counts_from_response
+        self.heartbeat_counts_from_arrival = heartbeat_counts_from_arrival
 
     def renewal_guard(self, world: World) -> LeaseRenewalGuard:
         # What `knowledge_s` leaves of `CANCEL` without drift: clocks here are exact.
         workers = WorkerSettings(report_s=1.0, lease_s=LEASE, cancel_s=(CANCEL + 0.25) / 0.998)
-        fence = self.kind("a", OTHERS, 1, workers)
-        fence._read = world.read
-        for peer, kept in zip(fence._peers.values(), world.peers, strict=True):
-            peer.process, peer.since, peer.known = kept
-        return fence
+        guard = self.kind("a", OTHERS, 1, workers)
+        guard._last_read_at = world.last_read_at
+        for peer, kept in zip(guard._peers.values(), world.peers, strict=True):
+            peer.process, peer.first_heartbeat_at, peer.known_until = kept
+        return guard
 
     @staticmethod
-    def keep(world: World, fence: LeaseRenewalGuard) -> World:
-        peers = tuple((p.process, p.since, p.known) for p in fence._peers.values())
-        return world._replace(read=fence._read, peers=peers)
+    def keep(world: World, guard: LeaseRenewalGuard) -> World:
+        peers = tuple(
+            (peer.process, peer.first_heartbeat_at, peer.known_until)
+            for peer in guard._peers.values()
+        )
+        return world._replace(last_read_at=guard._last_read_at, peers=peers)
 
     def steps(self, world: World) -> Iterator[World]:
         t = world.t
         if t < LAST:
-            # The worst is that a report is answered whenever it may be.
-            lease = t if self.renewal_guard(world).open(t) else world.lease
+            # The worst is that a heartbeat is answered whenever it may be.
+            lease = t if self.renewal_guard(world).permits_renewal(t) else world.lease
             if t + 1 - lease <= LEASE:
                 yield world._replace(t=t + 1, lease=lease)
-        # The leader's reading: sent, carried out by the service, answered.
+        # The controller's reading: sent, carried out by the store, answered.
         if world.reading is None:
             yield world._replace(reading=(t, False))
         elif not world.reading[1]:
-            if world.told is None:
+            if world.confirmed_at is None:
                 yield world._replace(reading=(world.reading[0], True))
         else:
-            fence = self.renewal_guard(world)
-            fence.read(t if self.late else world.reading[0])
-            yield self.keep(world._replace(reading=None), fence)
+            guard = self.renewal_guard(world)
+            guard.read(t if self.reading_counts_from_response else world.reading[0])
+            yield self.keep(world._replace(reading=None), guard)
         for index, other in enumerate(world.others):
-            if world.told is None:
-                yield self._with(world, index, knows=True)._replace(told=t)
+            if world.confirmed_at is None:
+                yield self._with(world, index, knows=True)._replace(confirmed_at=t)
             yield from self._others(world, index, other)
 
     @staticmethod
@@ -112,21 +119,21 @@
         if all(each.process == 1 for each in world.others):
             yield self._with(world, index, process=2, knows=False)  # it ends and returns; one does
         if not other.knows and other.heartbeat != (other.process, t):
-            # It has just heard the leader and sends a beat; what was under way is lost.
+            # It has just received a heartbeat of `a` and sends one; what was under way is lost.
             yield self._with(world, index, heartbeat=(other.process, t))
         if other.heartbeat is not None:
             process, echo = other.heartbeat
-            fence = self.renewal_guard(world)
-            echoes = {"a": ClockReading(1, t if self.heard else echo)}
-            fence.heard(OTHERS[index], ClockReading(process, 0.0), echoes, True, t)
-            yield self.keep(self._with(world, index, heartbeat=None), fence)
+            guard = self.renewal_guard(world)
+            acknowledged = {"a": ClockReading(1, t if self.heartbeat_counts_from_arrival else echo)}
+            guard.heard(OTHERS[index], ClockReading(process, 0.0), acknowledged, True, t)
+            yield self.keep(self._with(world, index, heartbeat=None), guard)
 
     def broken(self) -> World | None:
         """A history's end in which the bound is broken, or None."""
         seen, stack = {World()}, [World()]
         while stack:
             for world in self.steps(stack.pop()):
-                if world.told is not None and world.t - world.told > CANCEL:
+                if world.confirmed_at is not None and world.t - world.confirmed_at > CANCEL:
                     return world
                 # The two others are alike.
                 pairs = sorted(zip(world.peers, world.others, strict=True), key=repr)
@@ -140,7 +147,7 @@
         return None
 
 
-def test_no_history_keeps_a_cancelled_task_past_its_time() -> None:
+def test_no_history_runs_a_cancelled_task_past_its_deadline() -> None:
     search = Search()
     assert search.broken() is None
     assert search.seen > 10_000, search.seen
@@ -149,12 +156,12 @@
 @pytest.mark.parametrize(
     "planted",
     [
-        Search(late=True),
-        Search(heard=True),
+        Search(reading_counts_from_response=True),
+        Search(heartbeat_counts_from_arrival=True),
         Search(OneForAll),
         Search(AnyProcess),
     ],
-    ids=["from-the-answer", "from-the-arrival", "one-for-all", "any-process"],
+    ids=["from-the-response", "from-the-arrival", "one-for-all", "any-process"],
 )
 def test_a_planted_defect_is_found(planted: Search) -> None:
     assert planted.broken() is not None
