--- a/src/sandladder/controller/controller.py
+++ b/src/sandladder/controller/controller.py
@@ -10,7 +10,16 @@
 
 from sandladder import clock
 from sandladder.agents import AgentService, LeaseExpiryProof, LeaseRenewalGuard, Reconciler
-from sandladder.api import JobApi
+from sandladder.api import (
+    CancellationService,
+    DependencyCheck,
+    HealthCheck,
+    JobApi,
+    JobLookup,
+    JobRouter,
+    RequestForwarder,
+    SubmissionService,
+)
 from sandladder.autoscaling import Autoscaler, CloudClient
 from sandladder.concurrency import Signal
 from sandladder.config import Settings, split_addr
@@ -100,7 +109,6 @@
         self.controller_lease = ControllerLease(self)
         self.peers = PeerService(self)
         self.agent_service = AgentService(self)
-        self.job_api = JobApi(self)
         self.job_committer = JobCommitter(self)
         self.dependency_resolver = DependencyResolver(self)
         self.schema_migration = SchemaMigration(self)
@@ -147,10 +155,45 @@
             self._moved,
             self.cluster_view.doubt_controllers,
         )
+        self.job_api = self._make_job_api()
         self.plan_due = Signal()
         self._urgent_due = Signal()  # something that must start at once waits
         self.tasks: TaskGroup | None = None
 
+    def _make_job_api(self) -> JobApi:
+        """The job API with the services behind it."""
+        read_timeout_s, commit_timeout_s = self.report_s / 2, self.report_s
+        lookup = JobLookup(self.cache, self.watch, self.dependency_resolver, read_timeout_s)
+        submissions = SubmissionService(
+            lookup=lookup,
+            dependency_check=DependencyCheck(
+                lookup, self.watch, self.dependency_resolver, read_timeout_s
+            ),
+            cache=self.cache,
+            committer=self.committer,
+            limits=self.limits,
+            team_limits=self.cluster_view.limits,
+            peers=self.peers,
+            store_reachable=self.store_reachable,
+            wall=self.wall,
+            timeout_s=commit_timeout_s,
+        )
+        cancellations = CancellationService(
+            lookup=lookup,
+            cache=self.cache,
+            cluster_view=self.cluster_view,
+            committer=self.committer,
+            peers=self.peers,
+            wall=self.wall,
+            timeout_s=commit_timeout_s,
+        )
+        return JobApi(
+            JobRouter(lookup, submissions, cancellations),
+            RequestForwarder(self.peers, self.store, self.store_reachable, self.report_s),
+            HealthCheck(self.cache, self.watch, self.peers, self.store_reachable),
+            self.agent_service.report,
+        )
+
     async def run(self) -> None:
         """Serve until cancelled."""
         async with anyio.create_task_group() as tasks:
--- a/src/sandladder/transport/__init__.py
+++ b/src/sandladder/transport/__init__.py
@@ -3,6 +3,7 @@
 from sandladder.transport.http import (
     Client,
     Connect,
+    Handler,
     HttpError,
     Request,
     Requester,
@@ -10,4 +11,13 @@
     Server,
 )
 
-__all__ = ["Client", "Connect", "HttpError", "Request", "Requester", "Response", "Server"]
+__all__ = [
+    "Client",
+    "Connect",
+    "Handler",
+    "HttpError",
+    "Request",
+    "Requester",
+    "Response",
+    "Server",
+]
