--- a/src/sandladder/config/__init__.py
+++ b/src/sandladder/config/__init__.py
@@ -1,29 +1,38 @@
-"""The settings: the platform's TOML file and the operators' own file, checked."""
+"""The settings of a controller: the platform's TOML file and the operators' S-expressions.
 
-from sandladder.config.settings import (
-    LEAST_TXN_OPS,
+`load` reads and checks both and returns `Settings`; what cannot be served raises `SettingsError`
+with the name of the field.  `platform_file` has the platform's fields, `operator_file` the
+operators', `checks` what the platform's values must satisfy, and `settings` what follows from both.
+
+It owns no state: settings are read once, at the start, and never change while a controller runs.
+It never reads the clock, the environment, or anything but these two files.
+"""
+
+from sandladder.config.address import Address, split_addr
+from sandladder.config.checks import LEAST_TXN_OPS
+from sandladder.config.errors import SettingsError
+from sandladder.config.operator_file import Operator, parse_operator
+from sandladder.config.platform_file import (
     Cloud,
     Deployment,
     External,
     Objective,
     Peer,
     Platform,
-    Settings,
-    SettingsError,
     State,
     TeamLimits,
     WorkerSettings,
-    load,
-    parse_operator,
-    split_addr,
 )
+from sandladder.config.settings import Settings, load
 
 __all__ = [
+    "Address",
     "Cloud",
     "Deployment",
     "External",
     "LEAST_TXN_OPS",
     "Objective",
+    "Operator",
     "Peer",
     "Platform",
     "Settings",
