--- a/tools/capacity/measure.py
+++ b/tools/capacity/measure.py
@@ -29,7 +29,7 @@
 from sandladder.protocol import wire
 from sandladder.state import JOB, StateCache, Transaction, fold_inventory, instances_value
 from sandladder.transport import Response, peer_transport
-from sandladder.transport.http import _encode_answer
+from sandladder.transport.http_server import encode_response
 
 # The step that processor time is given in: a hash over so many bytes.
 _REFERENCE_BYTES = 1 << 16
@@ -167,7 +167,7 @@
         server.receive_data(raw)
         while type(server.next_event()) is not h11.EndOfMessage:
             pass
-        written = _encode_answer(server, answer)
+        written = encode_response(server, answer)
         server.start_next_cycle()
         return written
 
