--- a/tests/plays.py
+++ b/tests/plays.py
@@ -148,9 +148,9 @@
 
 
 def _odd_requests() -> None:
-    import test_told
+    import test_read_consistency
 
-    test_told.test_odd_requests_get_what_the_page_says_at_every_node()
+    test_read_consistency.test_odd_requests_get_what_the_page_says_at_every_node()
 
 
 def _old_reports_at_seven() -> None:
@@ -168,9 +168,11 @@
 
 
 def _close_look() -> None:
-    import test_told
+    import test_read_consistency
 
-    test_told.test_a_close_look_at_all_nodes_finds_nothing_older(test_told.leaders_end, 7)
+    test_read_consistency.test_a_close_look_at_all_nodes_finds_nothing_older(
+        test_read_consistency.leaders_end, 7
+    )
 
 
 def _nine_controllers() -> None:
--- a/tests/test_told.py
+++ b/tests/test_read_consistency.py
@@ -1,6 +1,7 @@
-"""What users are told: at every node, in real order, whatever they ask and when.
+"""No controller answers a user with something older than any controller answered before.
 
-The answers are held against each other in `answers.py`; the meetings are told in `docs/meetings.md`.
+Asked at every node, in real order, whatever the request and its moment.  `answers.py` compares the
+answers; `docs/meetings.md` lists the combinations of faults that are played.
 """
 
 from typing import Any
@@ -42,7 +43,7 @@
 
 
 async def refused_in_turn(world: World) -> None:
-    """Each controller is refused by the store for a while, so that its requests are passed on."""
+    """The store refuses each controller for a while, so that its requests are forwarded."""
     for index in range(world.count):
         world.store.refuses = {f"node-{index}"}
         await anyio.sleep(4.0)
@@ -82,22 +83,22 @@
 
 @pytest.mark.parametrize("seed", [920, 921])
 def test_a_cancellation_meets_the_end_of_the_last_task(seed: int) -> None:
-    """Questions and repeated submissions come at that moment as well; nothing else is wrong."""
+    """Status queries and repeated submissions come at that moment as well."""
     world = World(seed, cancel_s=CANCEL_S)
     world.cancel_at_end, world.close_looks = 0.6, 1.0
 
     async def main() -> None:
         await day(world, (calm,), 30, short, cancels=0.0)
-        # Both have been told, each of some jobs: the meeting went either way.
+        # Each was the answer for some jobs: the race went either way.
         for state in set(world.answers.over.values()):
-            world.met[f"told {state} at the end"] += 1
+            world.met[f"was {state} at the end"] += 1
 
     signs = ("cancelled at its end", "looked at when ended")
-    play(world, main, *signs, "told done at the end", "told cancelled at the end")
+    play(world, main, *signs, "was done at the end", "was cancelled at the end")
 
 
-def test_what_waits_for_a_job_follows_what_was_told_of_its_end() -> None:
-    """The last task of an awaited job ends as the job is called off."""
+def test_dependents_follow_the_answer_that_was_given_about_a_job() -> None:
+    """The last task of a job that others depend on ends as the job is cancelled."""
     world = World(930, cancel_s=CANCEL_S)
     world.cancel_at_end, world.close_looks = 0.35, 1.0
 
@@ -111,12 +112,12 @@
         await settle(world, ids)
         over = world.answers.over
         for job_id in ids:
-            called_off = {over[name] for name in world.needed(job_id)}
-            if "cancelled" in called_off:
+            dependencies = {over[name] for name in world.needed(job_id)}
+            if "cancelled" in dependencies:
                 assert over[job_id] == "cancelled", job_id
                 world.met["followed a cancelled job"] += 1
             elif over[job_id] == "done":
-                world.met["followed jobs that are done"] += bool(called_off)
+                world.met["followed jobs that are done"] += bool(dependencies)
 
     play(
         world,
@@ -127,7 +128,7 @@
     )
 
 
-def test_a_service_called_off_as_it_starts_is_told_cancelled_alone() -> None:
+def test_a_service_cancelled_as_it_starts_is_never_called_anything_else() -> None:
     world = World(931, cancel_s=CANCEL_S)
     world.close_looks = 1.0
 
@@ -183,7 +184,7 @@
 async def statuses(
     world: World, method: str, path: str, body: Any = None
 ) -> list[tuple[int, str | None]]:
-    """The status at each node, and how the job stands if the answer says so."""
+    """The status code at each node, and the job's state if the answer has one."""
     found: list[tuple[int, str | None]] = []
     for node in range(world.count):
         answer = await world.ask(method, path, body, node)
@@ -194,7 +195,7 @@
 
 
 async def odd_requests(world: World, known: dict[str, str], unsure: bool) -> None:
-    """Each odd request at every node; `unsure`: while nobody can tell what is accepted."""
+    """Each odd request at every node; `unsure`: while no node can read what is accepted."""
 
     def allow(found: list[tuple[int, str | None]], *wanted: tuple[int, str | None]) -> None:
         allowed = {*wanted, (503, None)} if unsure else set(wanted)
@@ -235,7 +236,7 @@
     async def main() -> None:
         world.network.handlers.pop("cloud")
         await until(lambda: len(world.nodes) == world.count, 10.0)
-        # Not a job of the platform is refused for good while nobody knows what fits.
+        # No job is refused for good while no node knows what fits.
         await odd_requests_early(world)
         world.network.handlers["cloud"] = cloud
         await warm(world)
@@ -267,7 +268,7 @@
 
 
 async def odd_requests_early(world: World) -> None:
-    """No machine type is known to anyone."""
+    """The same while no node knows the machine types."""
     deadline = now() + 4.0
     while now() < deadline:
         spec = job(777)
@@ -284,21 +285,21 @@
 
 
 @pytest.mark.parametrize("seed", [950, 951, 952])
-def test_what_was_passed_on_for_an_ended_process_is_no_answer_to_the_next(seed: int) -> None:
-    """A peer that stands still has a request of a controller that ends; it answers the next process."""
+def test_the_response_to_an_ended_process_never_answers_the_next_one(seed: int) -> None:
+    """A frozen peer has a request that a controller forwarded before it ended, and responds late."""
     world = World(seed, cancel_s=CANCEL_S)
-    asked: list[str] = []  # to whom node-0 passed requests on
+    forwarded_to: list[str] = []  # peers that got a request of node-0
 
     def frames(source: str, target: str, message: Any) -> None:
         if source == "node-0" and isinstance(message, peer_transport.ForwardedRequest):
-            asked.append(target)
+            forwarded_to.append(target)
         if (
             target == "node-0"
             and isinstance(message, peer_transport.ForwardedResponse)
-            and len(asked) > 1
+            and len(forwarded_to) > 1
         ):
-            # Both are under way: the first one's answer comes while the second waits.
-            world.met["an answer came late"] += bool(world.nodes["node-0"].peers._asked)
+            # Both are under way: the first response comes while the second request waits.
+            world.met["a response came late"] += bool(world.nodes["node-0"].peers._asked)
 
     async def main() -> None:
         await warm(world)
@@ -307,9 +308,9 @@
         await anyio.sleep(3.0)
         world.specs |= {f"job-{number:06d}": job(number) for number in range(2)}
         world.network.tasks.start_soon(world.ask, "POST", "/work", job(0), 0)
-        await until(lambda: bool(asked), 3.0, 0.001)
+        await until(lambda: bool(forwarded_to), 3.0, 0.001)
         await anyio.sleep(0.011)
-        index = int(asked[0][-1])
+        index = int(forwarded_to[0][-1])
         world.freeze(index)
         world.crash(0)
         world.store.refuses = set()
@@ -320,7 +321,7 @@
         world.store.refuses = {"node-0"}
         world.store.late = {f"node-{i}": 1.4 for i in (1, 2)}
         with anyio.move_on_after(8.0):
-            while len(asked) < 2:
+            while len(forwarded_to) < 2:
                 world.network.tasks.start_soon(world.offer, job(1), 0)
                 await anyio.sleep(0.2)
         world.thaw(index)
@@ -328,4 +329,4 @@
         world.store.late, world.store.refuses = {}, set()
         await settle(world, [spec["id"] for spec in map(job, range(2)) if await world.submit(spec)])
 
-    play(world, main, "an answer came late")
+    play(world, main, "a response came late")
