--- a/src/sandladder/controller/controller.py
+++ b/src/sandladder/controller/controller.py
@@ -12,9 +12,15 @@
 from sandladder.agents import AgentService, LeaseExpiryProof, LeaseRenewalGuard, Reconciler
 from sandladder.api import JobApi
 from sandladder.autoscaling import Autoscaler, CloudClient
-from sandladder.concurrency import Signal
+from sandladder.concurrency import BackgroundTasks, Signal
 from sandladder.config import Settings, split_addr
-from sandladder.jobs import DependencyResolver, JobCommitter, stop
+from sandladder.jobs import (
+    DependencyResolver,
+    DependentCanceller,
+    JobArchiver,
+    JobCommitter,
+    stop,
+)
 from sandladder.membership import (
     ControllerLease,
     FailureDetector,
@@ -101,8 +107,6 @@
         self.peers = PeerService(self)
         self.agent_service = AgentService(self)
         self.job_api = JobApi(self)
-        self.job_committer = JobCommitter(self)
-        self.dependency_resolver = DependencyResolver(self)
         self.schema_migration = SchemaMigration(self)
         host, port = split_addr(settings.platform.external.state)
         self.store = StoreClient(
@@ -150,11 +154,51 @@
         self.plan_due = Signal()
         self._urgent_due = Signal()  # something that must start at once waits
         self.tasks: TaskGroup | None = None
+        self.background = BackgroundTasks()
+        self.job_committer = JobCommitter(
+            workers,
+            self.planner,
+            self.committer,
+            self.controller_lease,
+            self.membership,
+            self.peers,
+            self.agent_service,
+            JobArchiver(
+                self.node,
+                self.cache,
+                self.store,
+                self.committer,
+                self.limits,
+                self.controller_lease,
+                self.peers,
+            ),
+            self.background,
+            self.plan_due,
+            wall,
+        )
+        self.dependency_resolver = DependencyResolver(
+            workers,
+            self.store,
+            self.cache,
+            self.watch,
+            self.controller_lease,
+            DependentCanceller(
+                self.node,
+                workers,
+                self.cache,
+                self.committer,
+                self.peers,
+                self.background,
+                wall,
+            ),
+            self.plan_due,
+        )
 
     async def run(self) -> None:
         """Serve until cancelled."""
         async with anyio.create_task_group() as tasks:
             self.tasks = tasks
+            self.background.open(tasks)
             self._listen(tasks)
             for duty in (
                 self.watch.run,
--- a/src/sandladder/model/__init__.py
+++ b/src/sandladder/model/__init__.py
@@ -1,7 +1,8 @@
 """Jobs, attempts, machines, agents and members as the service decides on them; no I/O, no clock."""
 
 from sandladder.model.agents import AgentHeartbeat, ClockReading, Command, ReportedTask
-from sandladder.model.dependencies import DependencyIndex, DependencyOutcome, SchedulingPriority
+from sandladder.model.attempts import FAILURES, REFUSALS, AttemptKey, AttemptOutcome
+from sandladder.model.dependencies import DependencyIndex, DependencyOutcome
 from sandladder.model.jobs import (
     ARRAY,
     CANCELLED,
@@ -40,12 +41,15 @@
     nearly_used_up,
     within_guarantee,
 )
+from sandladder.model.scheduling_priority import SchedulingPriority
 from sandladder.model.schema import SCHEMA_V1, SCHEMA_V2
 
 __all__ = [
     "ARRAY",
     "AgentHeartbeat",
     "Attempt",
+    "AttemptKey",
+    "AttemptOutcome",
     "CANCELLED",
     "ClockReading",
     "Command",
@@ -54,6 +58,7 @@
     "DependencyOutcome",
     "EPSILON",
     "EndedAttempt",
+    "FAILURES",
     "FinishedJob",
     "GANG",
     "HIGH",
@@ -74,6 +79,7 @@
     "PENDING",
     "PRODUCTION",
     "Placement",
+    "REFUSALS",
     "RUNNING",
     "Ranges",
     "ReportedTask",
--- a/src/sandladder/model/dependencies.py
+++ b/src/sandladder/model/dependencies.py
@@ -1,212 +1,193 @@
-"""Jobs that wait for others: who waits for whom, what became of it, and what it makes urgent.
+"""Dependencies between jobs: which live jobs depend on which, and what came of these.
 
 A job names the jobs that must be done before any of its tasks starts.  Whoever is named was
-accepted before, so no cycle can arise.  What a named job came to is a fact that never changes
-once it is known: done releases, cancelled dooms all that need it, directly or through others.
+accepted before, so no cycle can arise.  How a named job ended is a fact that never changes once
+it is known: done releases its dependents; cancelled cancels all of them, direct and indirect.
 Pure: no I/O, no clock.
 """
 
 import enum
 from collections.abc import Callable, Iterable, Iterator
-from typing import NamedTuple
 
 from sandladder.model.jobs import CANCELLED, FinishedJob, Job, JobSpec
+from sandladder.model.scheduling_priority import (
+    NEVER_DUE,
+    SchedulingPriority,
+    inherit_priorities,
+)
 
 
 class DependencyOutcome(enum.Enum):
-    """What the jobs that a live job names mean for it."""
+    """What a live job's dependencies mean for it."""
 
     READY = "ready"  # all of them are done
-    WAITS = "waits"  # some are live
-    DOOMED = "doomed"  # one is cancelled, or doomed itself
-    UNKNOWN = "unknown"  # none is live, and what became of some must be read first
-
-
-class SchedulingPriority(NamedTuple):
-    """How urgent a job is, with all that need it: priority, and when it is due."""
-
-    priority: int
-    due: float  # time of day
-
-
-_NEVER = float("inf")
+    WAITING = "waiting"  # some are live
+    DOOMED = "cancelled"  # one is cancelled, or has such an outcome itself
+    UNKNOWN = "unknown"  # none is live, and how some ended must be read first
 
 
 class DependencyIndex:
-    """An index over the live jobs, kept up by the mirror."""
+    """The dependencies of the live jobs, kept up to date by the state cache."""
 
     def __init__(self, jobs: dict[str, Job]) -> None:
-        self._jobs = jobs  # the live jobs
-        self._needed_by: dict[str, dict[str, None]] = {}  # by the job named, those that name it
-        self._awaits: dict[str, tuple[str, ...]] = {}
-        self._settled: dict[str, FinishedJob] = {}  # only of jobs that live ones name
-        self._doomed: dict[str, None] = {}
-        self._outlooks: dict[str, SchedulingPriority] = {}
+        """`jobs`: the live jobs by id, which the owner changes before it calls `changed`."""
+        self._jobs = jobs
+        self._dependents: dict[str, dict[str, None]] = {}  # by job, those that name it
+        self._dependencies: dict[str, tuple[str, ...]] = {}  # by job, those that it names
+        self._finished: dict[str, FinishedJob] = {}  # only of jobs that live ones name
+        self._to_cancel: dict[str, None] = {}
+        self._priorities: dict[str, SchedulingPriority] = {}
 
     # Changes
 
     def changed(self, job_id: str, old: Job | None, new: Job | None) -> None:
-        """A live job came, changed or went."""
-        before = self._awaits.get(job_id, ())
+        """Take in that a job became live, changed, or is live no more (`new` is None)."""
+        before = self._dependencies.get(job_id, ())
         after = new.dependencies if new is not None else ()
         if before != after:
-            self._name(job_id, before, after)
+            self._set_dependencies(job_id, before, after)
         if before != after or (old is None) != (new is None):
-            self._outlooks.clear()
+            self._priorities.clear()
         if new is None:
-            # It is over, or will be read again: its fate is not ours to keep.
-            self._doomed.pop(job_id, None)
+            # It is over, or will be read again: nothing is kept of it.
+            self._to_cancel.pop(job_id, None)
             return
-        if after and job_id not in self._doomed and any(self._condemns(name) for name in after):
-            self._doom(job_id)
+        if after and job_id not in self._to_cancel and any(map(self._is_cancelled, after)):
+            self._to_cancel[job_id] = None
+            self._priorities.clear()
+            self._cancel_dependents(job_id)
         if new.cancelled and (old is None or not old.cancelled):
-            self._outlooks.clear()
-            self._doom_needers(job_id)
+            self._priorities.clear()
+            self._cancel_dependents(job_id)
 
     def settle(self, job_id: str, final: FinishedJob) -> bool:
-        """A job is over; whether a live one names it."""
-        if job_id not in self._needed_by:
+        """Take in how a job ended; False when no live job depends on it."""
+        if job_id not in self._dependents:
             return False
-        self._settled[job_id] = final
+        self._finished[job_id] = final
         if final.state == CANCELLED:
-            self._doom_needers(job_id)
+            self._cancel_dependents(job_id)
         return True
 
-    def _name(self, job_id: str, before: Iterable[str], after: tuple[str, ...]) -> None:
+    def _set_dependencies(self, job_id: str, before: Iterable[str], after: tuple[str, ...]) -> None:
         for name in before:
-            needers = self._needed_by[name]
-            needers.pop(job_id, None)
-            if not needers:
-                del self._needed_by[name]
-                self._settled.pop(name, None)
+            dependents = self._dependents[name]
+            dependents.pop(job_id, None)
+            if not dependents:
+                del self._dependents[name]
+                self._finished.pop(name, None)
         for name in after:
-            self._needed_by.setdefault(name, {})[job_id] = None
+            self._dependents.setdefault(name, {})[job_id] = None
         if after:
-            self._awaits[job_id] = after
+            self._dependencies[job_id] = after
         else:
-            self._awaits.pop(job_id, None)
+            self._dependencies.pop(job_id, None)
 
-    def _condemns(self, name: str) -> bool:
-        """Whether a named job is cancelled, or will be."""
+    def _is_cancelled(self, name: str) -> bool:
+        """Whether a dependency is cancelled, or will be."""
         job = self._jobs.get(name)
         if job is not None:
-            return job.cancelled or name in self._doomed
-        settled = self._settled.get(name)
-        return settled is not None and settled.state == CANCELLED
-
-    def _doom(self, job_id: str) -> None:
-        self._doomed[job_id] = None
-        self._outlooks.clear()
-        self._doom_needers(job_id)
+            return job.cancelled or name in self._to_cancel
+        finished = self._finished.get(name)
+        return finished is not None and finished.state == CANCELLED
 
-    def _doom_needers(self, job_id: str) -> None:
-        """Condemn all that need a job, directly or through others."""
+    def _cancel_dependents(self, job_id: str) -> None:
+        """Note that all jobs that depend on one, directly or not, are to be cancelled."""
         stack = [job_id]
         while stack:
-            for needer in self._needed_by.get(stack.pop(), ()):
-                if needer not in self._doomed:
-                    self._doomed[needer] = None
-                    self._outlooks.clear()
-                    stack.append(needer)
+            for dependent in self._dependents.get(stack.pop(), ()):
+                if dependent not in self._to_cancel:
+                    self._to_cancel[dependent] = None
+                    self._priorities.clear()
+                    stack.append(dependent)
 
     # Questions
 
     def fate(self, job: Job) -> DependencyOutcome:
-        """What the jobs that it names mean for a live job."""
+        """What a live job's dependencies mean for it."""
         if not job.dependencies:
             return DependencyOutcome.READY
-        if job.id in self._doomed:
+        if job.id in self._to_cancel:
             return DependencyOutcome.DOOMED
-        names = [name for name in job.dependencies if name not in self._settled]
-        if not names:
+        unfinished = [name for name in job.dependencies if name not in self._finished]
+        if not unfinished:
             return DependencyOutcome.READY
-        return (
-            DependencyOutcome.WAITS
-            if any(name in self._jobs for name in names)
-            else DependencyOutcome.UNKNOWN
-        )
+        if any(name in self._jobs for name in unfinished):
+            return DependencyOutcome.WAITING
+        return DependencyOutcome.UNKNOWN
 
     def ready(self, job: Job) -> bool:
+        """Whether all dependencies of a live job are known to be done."""
         return not job.dependencies or self.fate(job) is DependencyOutcome.READY
 
     def settled(self, name: str) -> FinishedJob | None:
-        """What a named job came to, if that is known."""
-        return self._settled.get(name)
+        """How a job that live ones depend on ended, if that is known."""
+        return self._finished.get(name)
 
-    def doomed(self) -> Iterator[Job]:
-        """Live jobs that must be cancelled because one that they need is."""
-        for job_id in self._doomed:
+    def jobs_to_cancel(self) -> Iterator[Job]:
+        """The live jobs that must be cancelled because one of their dependencies is."""
+        for job_id in self._to_cancel:
             job = self._jobs.get(job_id)
             if job is not None and not job.cancelled:
                 yield job
 
-    def unknown(self) -> list[str]:
-        """Named jobs that are not live and of which it is not known what they came to."""
+    def unresolved(self) -> list[str]:
+        """The dependencies that are not live and of which it is not known how they ended."""
         return [
-            name for name in self._needed_by if name not in self._settled and name not in self._jobs
+            name
+            for name in self._dependents
+            if name not in self._finished and name not in self._jobs
         ]
 
     def uncertain(self, job: Job) -> list[str]:
-        """Jobs of which it must be read what they came to, before this one's fate is certain."""
+        """The unresolved ones among a job's direct and indirect dependencies.
+
+        The job's own outcome is certain only when all of these have been read.
+        """
         found: dict[str, None] = {}
         stack, seen = list(job.dependencies), set(job.dependencies)
         while stack:
             name = stack.pop()
             live = self._jobs.get(name)
             if live is not None:
-                more = [n for n in live.dependencies if n not in seen]
-                seen.update(more)
-                stack += more
-            elif name not in self._settled:
+                unseen = [n for n in live.dependencies if n not in seen]
+                seen.update(unseen)
+                stack += unseen
+            elif name not in self._finished:
                 found[name] = None
         return list(found)
 
-    def needers(self, name: str) -> Iterator[Job]:
-        """The live jobs that name this one."""
-        for job_id in self._needed_by.get(name, ()):
+    def dependents(self, name: str) -> Iterator[Job]:
+        """The live jobs that depend directly on this one."""
+        for job_id in self._dependents.get(name, ()):
             job = self._jobs.get(job_id)
             if job is not None:
                 yield job
 
     def since(self, job: Job) -> float:
-        """From when a ready job's times count: when the last job that it needs was done."""
+        """The time of day from which a ready job's waiting time counts, in seconds.
+
+        That is when it was submitted or when the last of its dependencies was done, whichever is
+        later.
+        """
         times = [job.submitted, job.ready or 0.0]
-        finished_jobs = (self._settled.get(name) for name in job.dependencies)
+        finished_jobs = (self._finished.get(name) for name in job.dependencies)
         times += [final.at for final in finished_jobs if final is not None and final.at is not None]
         return max(times)
 
     def outlook(self, job: Job, stage_s: Callable[[JobSpec], float]) -> SchedulingPriority:
-        """The highest priority and the earliest time due among a job and all that need it.
+        """The priority and due time of a job, with those inherited from its dependents.
 
-        What follows needs its own time, so a job is due that much before those that need it.
+        `stage_s`: how long a job takes once it may start, in seconds.
         """
-        known = self._outlooks
-        if job.id in known:
-            return known[job.id]
-        stack, path = [job.id], set()
-        while stack:
-            name = stack[-1]
-            found = self._jobs.get(name)
-            if name in known or found is None:
-                stack.pop()
-                continue
-            needers = [
-                n for n in self.needers(name) if n.id not in self._doomed and not n.cancelled
-            ]
-            missing = [n.id for n in needers if n.id not in known and n.id not in path]
-            if missing:
-                path.add(name)
-                stack += missing
-                continue
-            spec = found.spec
-            priority = spec.priority
-            due = found.submitted + spec.deadline_s if spec.deadline_s is not None else _NEVER
-            for needer in needers:
-                after = known.get(needer.id)
-                if after is None:
-                    continue  # a circle of names, which no accepted jobs can form
-                priority = max(priority, after.priority)
-                due = min(due, after.due - stage_s(needer.spec))
-            known[name] = SchedulingPriority(priority, due)
-            stack.pop()
-        return known.get(job.id) or SchedulingPriority(job.spec.priority, _NEVER)
+        known = self._priorities.get(job.id)
+        if known is not None:
+            return known
+        inherit_priorities(job.id, self._jobs, self._dependents_to_run, stage_s, self._priorities)
+        return self._priorities.get(job.id) or SchedulingPriority(job.spec.priority, NEVER_DUE)
+
+    def _dependents_to_run(self, name: str) -> Iterator[Job]:
+        """The direct dependents that are not cancelled and will not be."""
+        for job in self.dependents(name):
+            if job.id not in self._to_cancel and not job.cancelled:
+                yield job
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -62,7 +62,7 @@
     dependency_index = cache.dependency_index
     place = [Placement(0, "vm-1", "north", 1)]
     for awaited, at in ((one, 20.0), (two, 35.0)):
-        assert dependency_index.fate(cache.jobs[last.id]) is DependencyOutcome.WAITS
+        assert dependency_index.fate(cache.jobs[last.id]) is DependencyOutcome.WAITING
         with pytest.raises(PreconditionFailedError):
             start(Transaction(cache), last.id, place, LIMITS, ME)
         complete(cache, awaited, at)
@@ -78,7 +78,9 @@
     assert {f"s/f/{one.id}", f"s/j/{two.id}"} <= transaction.expected_versions.keys()
     commit(cache, transaction)
     started = load_job(cbor2.loads(cbor2.dumps(job_value(cache.jobs[last.id]))))
-    assert started.dependencies == () and started.ready == 35.0 and not dependency_index.unknown()
+    assert (
+        started.dependencies == () and started.ready == 35.0 and not dependency_index.unresolved()
+    )
 
 
 def test_what_is_not_known_of_an_awaited_job_fails_closed() -> None:
@@ -87,13 +89,13 @@
     world_of(cache)
     last = add(cache, 3, "job-000001", entries=1)
     assert cache.dependency_index.fate(last) is DependencyOutcome.UNKNOWN
-    assert cache.dependency_index.unknown() == ["job-000001"]
+    assert cache.dependency_index.unresolved() == ["job-000001"]
     assert planner.plan([last], {}) == []
     cache.remember("job-000001", FinishedJob("done", 2, 21.0, 4))
     pending_start = planner.plan([cache.jobs[last.id]], {})[0]
     gate = cluster_view.gate
     assert gate.changed([("job", "job-000001")], cluster_view)[0].outcome is Outcome.KEEP
-    cache.dependency_index._settled.clear()
+    cache.dependency_index._finished.clear()
     verdict = gate.changed([("job", "job-000001")], cluster_view)[0]
     assert verdict.outcome is Outcome.BLOCK and verdict.reason == "after"
     assert pending_start.key not in gate.pending
@@ -152,13 +154,13 @@
             items = [(f"s/j/{j.id}", job_value(j), 1) for j in cache.jobs.values()]
             rng.shuffle(items)
             twin.reset(2, items)
-            for name in twin.dependency_index.unknown():
+            for name in twin.dependency_index.unresolved():
                 twin.remember(name, cache.finished_jobs[name])
             for found in twin.jobs.values():
                 mine = cache.dependency_index.fate(cache.jobs[found.id])
                 assert (
                     twin.dependency_index.fate(found) is mine
-                    and not twin.dependency_index.unknown()
+                    and not twin.dependency_index.unresolved()
                 )
 
 
@@ -186,7 +188,7 @@
         value = job_value(Job(spec(one), 0.0, (f"job-{other:06d}",)))
         cache.apply(cache.revision + 1, [(f"s/j/job-{one:06d}", value, cache.revision + 1)])
     found = cache.jobs["job-000001"]
-    assert cache.dependency_index.fate(found) is DependencyOutcome.WAITS
+    assert cache.dependency_index.fate(found) is DependencyOutcome.WAITING
     assert cache.dependency_index.outlook(found, lambda s: 1.0).priority == 1
     assert cache.dependency_index.uncertain(found) == []
 
