--- a/src/sandladder/jobs/job_committer.py
+++ b/src/sandladder/jobs/job_committer.py
@@ -16,11 +16,12 @@
 from sandladder.jobs.end_announcer import EndAnnouncer, ProvedEnd
 from sandladder.jobs.end_queue import EndQueue
 from sandladder.jobs.start_queue import StartQueue
-from sandladder.jobs.transitions import end, record_done_dependencies, same_attempt, start
+from sandladder.jobs.starts import record_done_dependencies, start
+from sandladder.jobs.transitions import end, same_attempt
 from sandladder.membership import ControllerLease, MembershipService
 from sandladder.model import HIGH, AttemptKey, EndedAttempt, Job
 from sandladder.peers import PeerService
-from sandladder.scheduling import PendingStart, Planner
+from sandladder.scheduling import ClusterView, PendingStart, Planner
 from sandladder.state import (
     JOB,
     P_START,
@@ -230,8 +231,9 @@
             log.error("%s: %s", change.name, refusal)
         self._under_way.discard(job_id)
         released = self._released.pop(job_id, [])
-        if released and change.error is None:
-            self._log_starts(job_id, released)
+        job = self._cache.jobs.get(job_id)
+        if released and change.error is None and job is not None:
+            _log_starts(self._cluster_view, job, released, self._wall())
         left = self._starts.pop(job_id, committed=released)
         for ended in self._ends.pop(job_id):
             self._finish_end(ended)
@@ -253,21 +255,20 @@
         if agent is not None:
             self._agent_service.push(agent)
 
-    def _log_starts(self, job_id: str, released: list[PendingStart]) -> None:
-        """Log how long committed starts waited, and how long they still wait for their images."""
-        job = self._cache.jobs.get(job_id)
-        if job is None:
-            return
-        view = self._cluster_view
-        waits_s = [view.fetch_wait_s(i.spec, i.placement) for i in released]
-        log.info(
-            "starts of %s (%s): %d tasks after %.1f s, images in %.1f s, %d without a fetch, "
-            "at revision %d",
-            job_id,
-            job.spec.cls,
-            len(released),
-            self._wall() - view.since(job),
-            max(waits_s),
-            sum(wait_s <= 0 for wait_s in waits_s),
-            self._cache.version(JOB + job_id),
-        )
+
+def _log_starts(
+    cluster_view: ClusterView, job: Job, started: list[PendingStart], time_of_day: float
+) -> None:
+    """Log how long committed starts waited, and how long they still wait for their images."""
+    waits_s = [cluster_view.fetch_wait_s(i.spec, i.placement) for i in started]
+    log.info(
+        "starts of %s (%s): %d tasks after %.1f s, images in %.1f s, %d without a fetch, "
+        "at revision %d",
+        job.id,
+        job.spec.cls,
+        len(started),
+        time_of_day - cluster_view.since(job),
+        max(waits_s),
+        sum(wait_s <= 0 for wait_s in waits_s),
+        cluster_view.cache.version(JOB + job.id),
+    )
