--- a/tools/search.py
+++ b/tools/search.py
@@ -60,7 +60,7 @@
 DAYS = {
     "world": "from test_world import *; play_day({seed}, {trouble})",
     "upgrade": "from test_upgrade import *; play_upgrade({seed}, {trouble})",
-    "pipelines": "import days; from test_pipelines import *; "
+    "pipelines": "import days; from test_dependencies import *; "
     "play_pipelines({seed}, days.{trouble})",
     "grown": "from test_world import *; play_grown({seed}, {trouble})",
     "faults": "from test_faults import *; play_fault({seed}, {trouble})",
