--- a/src/sandladder/jobs/starts.py
+++ b/src/sandladder/jobs/starts.py
@@ -29,7 +29,7 @@
     limits: TeamLimits | None,
     assignment: TeamAssignment | None = None,
 ) -> None:
-    """Commit starts: the final check of the rules that bind a job and its team.
+    """Add starts to a transaction: the final check of the rules that bind a job and its team.
 
     Everything is checked before anything is changed.
 
@@ -50,6 +50,7 @@
     _check_tasks(job, placements)
     _check_team(transaction, job.spec, len(placements), limits, assignment)
     if not transaction.is_schema_v1:
+        # Another controller that takes the team over changes its record, and this is refused.
         key = TEAM + job.spec.team
         transaction.expected_versions[key] = transaction.cache.version(key)
     if job.dependencies:
