--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -11,6 +11,7 @@
 from sandladder.jobs import SubmittedDependencies, archive_job, cancel, end, start, submit
 from sandladder.model import (
     SCHEMA_V2,
+    AttemptOutcome,
     DependencyOutcome,
     EndedAttempt,
     FinishedJob,
@@ -40,20 +41,29 @@
     return cache.jobs[f"job-{number:06d}"]
 
 
-def complete(cache: StateCache, found: Job, at: float) -> None:
-    """Start and end all tasks of a job, at this time of day."""
+def start_all(cache: StateCache, found: Job) -> None:
+    """Start all waiting tasks of a job."""
     transaction = Transaction(cache)
-    places = [Placement(task, "vm-1", "north", 1) for task in found.pending()]
-    start(transaction, found.id, places, LIMITS, ME)
+    placements = [Placement(task, "vm-1", "north", 1) for task in found.pending()]
+    start(transaction, found.id, placements, LIMITS, ME)
     commit(cache, transaction)
-    live = cache.jobs[found.id].live
+
+
+def end_all(cache: StateCache, job_id: str, at: float) -> None:
+    """End all started tasks of a job, at this time of day."""
+    live = cache.jobs[job_id].live
     transaction = Transaction(cache)
-    assert end(
-        transaction, [EndedAttempt(found.id, task, a, "done") for task, a in live.items()], at
-    )
+    ended = [EndedAttempt(job_id, task, a, AttemptOutcome.DONE) for task, a in live.items()]
+    assert end(transaction, ended, at)
     commit(cache, transaction)
 
 
+def complete(cache: StateCache, found: Job, at: float) -> None:
+    """Start and end all tasks of a job, at this time of day."""
+    start_all(cache, found)
+    end_all(cache, found.id, at)
+
+
 def test_no_task_starts_before_all_dependencies_are_committed_as_done() -> None:
     cache = StateCache()
     use_second_schema(cache)
@@ -125,19 +135,28 @@
         )
 
     def step(self, now: float) -> None:
-        """Submit, cancel or complete one job."""
+        """Submit, cancel, start or complete one job."""
         live = list(self.cache.jobs.values())
         if self.rng.random() < 0.45 or not live:
             self._submit(now)
             return
-        chosen = self.rng.choice(live)
-        if self.rng.random() < 0.2:
-            transaction = Transaction(self.cache)
-            cancel(transaction, chosen.id, now)
-            commit(self.cache, transaction)
-        elif self.cache.dependency_index.ready(chosen):
+        chosen, action = self.rng.choice(live), self.rng.random()
+        may_start = not chosen.live and self.cache.dependency_index.ready(chosen)
+        if action < 0.2 and not chosen.cancelled:
+            self._cancel(chosen, now)
+        elif chosen.live:
+            # One that is cancelled ends here as well.
+            end_all(self.cache, chosen.id, now)
+        elif may_start and action < 0.5:
+            start_all(self.cache, chosen)
+        elif may_start:
             complete(self.cache, chosen, now)
 
+    def _cancel(self, job: Job, now: float) -> None:
+        transaction = Transaction(self.cache)
+        cancel(transaction, job.id, now)
+        commit(self.cache, transaction)
+
     def _submit(self, now: float) -> None:
         number = len(self.dependencies)
         known = list(self.dependencies)
@@ -165,11 +184,13 @@
 
 def test_the_index_agrees_with_the_definition_on_random_histories() -> None:
     """To be cancelled if any dependency is, directly or not; ready if all are done."""
+    cancelled_while_running = 0
     for seed in range(60):
         history = RandomHistory(seed)
         cache = history.cache
         for step in range(40):
             history.step(float(step))
+            cancelled_while_running += any(job.cancelled for job in cache.jobs.values())
             for job_id, found in cache.jobs.items():
                 outcome = cache.dependency_index.fate(found)
                 cancelled = history.must_be_cancelled(job_id)
@@ -182,6 +203,7 @@
             for job_id, found in other.jobs.items():
                 expected = cache.dependency_index.fate(cache.jobs[job_id])
                 assert other.dependency_index.fate(found) is expected, (seed, job_id)
+    assert cancelled_while_running > 100
 
 
 def test_priority_and_due_time_are_inherited_from_live_dependents() -> None:
--- a/tests/test_job_commits.py
+++ b/tests/test_job_commits.py
@@ -60,7 +60,10 @@
 def test_an_end_that_calls_for_another_start_is_committed_at_once(outcome: AttemptOutcome) -> None:
     _, planner, cache, _ = scene()
     job = started_job(cache, 3, range(3))
-    assert EndQueue(planner, MAX_WAIT_S).add(ended(job, 0, outcome), now=10.0)
+    queue = EndQueue(planner, MAX_WAIT_S)
+    assert queue.add(ended(job, 0, outcome), now=10.0)
+    # Repeated by the next heartbeat, it does not ask for another commit.
+    assert not queue.add(ended(job, 0, outcome), now=10.5)
 
 
 def test_an_end_that_is_repeated_waits_no_longer_and_is_there_once() -> None:
--- a/tests/test_transitions.py
+++ b/tests/test_transitions.py
@@ -115,6 +115,27 @@
             assert cache.sessions == truth
 
 
+def test_failures_are_counted_until_a_task_of_the_job_is_done() -> None:
+    cache = StateCache()
+    found = accept(cache, entries=4, vcpus=0.1)
+    for task, (outcome, errors) in enumerate(
+        [
+            (AttemptOutcome.ERROR, 1),
+            (AttemptOutcome.BUSY, 1),
+            (AttemptOutcome.UNKNOWN, 2),
+            (AttemptOutcome.DONE, 0),
+        ]
+    ):
+        transaction = Transaction(cache)
+        start(transaction, found.id, [Placement(task, "vm-1", "north", 1)], LIMITS)
+        commit(cache, transaction)
+        transaction = Transaction(cache)
+        attempt = cache.jobs[found.id].live[task]
+        assert end(transaction, [EndedAttempt(found.id, task, attempt, outcome)], 0.0)
+        commit(cache, transaction)
+        assert cache.jobs[found.id].errors == errors
+
+
 def test_outcomes_are_sent_to_peers_as_they_have_always_been() -> None:
     """Controllers of two versions run side by side, so a value never changes."""
     assert {str(outcome) for outcome in AttemptOutcome} == {
