--- /dev/null
+++ b/src/sandladder/agents/reporting_agents.py
@@ -0,0 +1,60 @@
+"""What the controller's machine inventory says of the agents that report to it."""
+
+from collections.abc import Callable
+
+from sandladder.agents.lease_expiry import LeaseExpiryProof
+from sandladder.agents.reconciler import AgentSession, Reconciler
+from sandladder.membership import AgentInventory
+from sandladder.model import MachineStatus
+
+# Images that the inventory names of each machine at the most, the latest.
+_LISTED_IMAGES = 4
+
+
+class ReportingAgents:
+    """The agents that this controller answered of late, with what is known of their machines."""
+
+    def __init__(
+        self,
+        lease_expiry: LeaseExpiryProof,
+        reconciler: Reconciler,
+        images: Callable[[str, int], list[str]],
+        advance_time: Callable[[], float],
+    ) -> None:
+        """Read from the collaborators whenever asked.
+
+        Args:
+            lease_expiry: knows which agents were answered, and when.
+            reconciler: knows the agents' sessions.
+            images: those that a machine has in a session, the most recently used last.
+            advance_time: sets the moment as of which the cluster view answers to now, on the steady
+                clock, and returns it, in seconds.
+        """
+        self._lease_expiry = lease_expiry
+        self._reconciler = reconciler
+        self._images = images
+        self._advance_time = advance_time
+
+    def inventory(self) -> AgentInventory:
+        """The agents as of now."""
+        now = self._advance_time()
+        machines = {}
+        for machine in self._lease_expiry.machines():
+            age_s = self._lease_expiry.age(machine, now)
+            agent = self._reconciler.machines.get(machine)
+            if age_s is not None and agent is not None:
+                machines[machine] = self._status(machine, agent, age_s, now)
+        return AgentInventory(round(self._lease_expiry.up_s(now), 2), machines)
+
+    def _status(self, machine: str, agent: AgentSession, age_s: float, now: float) -> MachineStatus:
+        heartbeat, notice_at = agent.report, agent.notice_at
+        return MachineStatus(
+            type=heartbeat.type,
+            zone=heartbeat.zone,
+            spot=heartbeat.spot,
+            session=heartbeat.session,
+            age_s=round(age_s, 2),
+            notice_s=None if notice_at is None else round(notice_at - now, 1),
+            errors=len(agent.failed),
+            images=tuple(self._images(machine, heartbeat.session)[-_LISTED_IMAGES:]),
+        )
--- a/src/sandladder/controller/controller.py
+++ b/src/sandladder/controller/controller.py
@@ -9,20 +9,34 @@
 from anyio.abc import TaskGroup
 
 from sandladder import clock
-from sandladder.agents import AgentService, LeaseExpiryProof, LeaseRenewalGuard, Reconciler
+from sandladder.agents import (
+    AgentService,
+    LeaseExpiryProof,
+    LeaseRenewalGuard,
+    Reconciler,
+    ReportingAgents,
+)
 from sandladder.api import JobApi
 from sandladder.autoscaling import Autoscaler, CloudClient
-from sandladder.concurrency import Signal
+from sandladder.concurrency import BackgroundTasks, Signal
 from sandladder.config import Settings, split_addr
 from sandladder.jobs import DependencyResolver, JobCommitter, stop
 from sandladder.membership import (
     ControllerLease,
     FailureDetector,
+    InventoryWriter,
     MembershipPolicy,
     MembershipService,
 )
 from sandladder.model import HIGH, LOW, Job
-from sandladder.peers import PeerService
+from sandladder.peers import (
+    HeartbeatExchange,
+    LocalStatus,
+    PeerEvents,
+    PeerService,
+    TeamDirectory,
+    WriteRateShare,
+)
 from sandladder.protocol import wire
 from sandladder.scheduling import (
     ClusterView,
@@ -52,7 +66,15 @@
     StoreWatch,
     Transaction,
 )
-from sandladder.transport import Client, Connect, Server, peer_transport
+from sandladder.transport import (
+    Client,
+    Connect,
+    MachineUpdate,
+    Request,
+    Response,
+    Server,
+    peer_transport,
+)
 
 log = logging.getLogger(__name__)
 
@@ -97,8 +119,7 @@
         )
         self.planner = Planner(self.cluster_view, self.limits, rng)
         self.preemption = PreemptionPolicy(self.planner)
-        self.controller_lease = ControllerLease(self)
-        self.peers = PeerService(self)
+        self.background = BackgroundTasks()
         self.agent_service = AgentService(self)
         self.job_api = JobApi(self)
         self.job_committer = JobCommitter(self)
@@ -126,6 +147,35 @@
             connect(host, port, keep=2), self.lease_s / 3, deployment.cloud.rps
         )
         self.autoscaler = Autoscaler(self)
+        inventory = ReportingAgents(
+            self.lease_expiry,
+            self.reconciler,
+            self.cluster_view.images.names,
+            self._advance_time,
+        )
+        self.controller_lease = ControllerLease(
+            node=self.node,
+            process=self.process,
+            ttl_s=settings.operator.hold_leases * self.lease_s,
+            report_s=self.report_s,
+            inventory_interval_s=self.cluster_view.inventory_interval_s,
+            cache=self.cache,
+            store=self.store,
+            watch=self.watch,
+            committer=self.committer,
+            inventory=InventoryWriter(
+                self.node,
+                self.process,
+                self.cache,
+                self.committer,
+                self.limits,
+                lambda: self.reconciler.term,
+                inventory.inventory,
+            ),
+            fencing_token=lambda: self.reconciler.term,
+            on_fencing_token=self.reconciler.new_term,
+            on_acquired=lambda token: self.membership.lease_acquired(token),
+        )
         detector = FailureDetector(
             self.node,
             peers,
@@ -135,17 +185,54 @@
         )
         teams = [team.name for team in deployment.teams]
         self.membership = MembershipService(
-            MembershipPolicy(detector, self.nodes, teams, self.cache),
-            {p.node_name: p.location for p in settings.platform.peers}
+            policy=MembershipPolicy(detector, self.nodes, teams, self.cache),
+            zones={p.node_name: p.location for p in settings.platform.peers}
             | {self.node: settings.platform.location},
-            self.cache,
-            self.committer,
-            self.controller_lease,
-            self.store_reachable,
-            self.limits,
-            wall,
-            self._moved,
-            self.cluster_view.doubt_controllers,
+            cache=self.cache,
+            committer=self.committer,
+            limits=self.limits,
+            lease=self.controller_lease,
+            store_reachable=self.store_reachable,
+            wall=wall,
+            on_teams_moved=self._moved,
+            on_unready_changed=self.cluster_view.doubt_controllers,
+        )
+        heartbeats = HeartbeatExchange(
+            node=self.node,
+            process=self.process,
+            peers=peers,
+            interval_s=self.heartbeat_interval_s,
+            cache=self.cache,
+            lease=self.controller_lease,
+            membership=self.membership,
+            write_rate=WriteRateShare(self.cache, self.committer, self.limits, self.store),
+            status=LocalStatus(
+                fencing_token=lambda: self.reconciler.term,
+                store_reachable=self.store_reachable,
+                agents=self._reporting_agents,
+                acknowledged=lambda: self.renewal_guard.echoes,
+            ),
+            on_clock_exchange=self.renewal_guard.heard,
+            on_cancelled_jobs=self.agent_service.stop_cancelled,
+        )
+        self.peers = PeerService(
+            node=self.node,
+            process=self.process,
+            peers=settings.platform.peers,
+            heartbeat_interval_s=self.heartbeat_interval_s,
+            response_timeout_s=self.report_s / 2,
+            rng=rng,
+            cache=self.cache,
+            watch=self.watch,
+            membership=self.membership,
+            teams=TeamDirectory(self.node, self.nodes, teams, self.cache, self.membership),
+            heartbeats=heartbeats,
+            background=self.background,
+            events=PeerEvents(
+                on_machine_update=self._machine_updated,
+                on_ended_attempt=self.job_committer.told,
+                serve_request=self._serve_forwarded,
+            ),
         )
         self.plan_due = Signal()
         self._urgent_due = Signal()  # something that must start at once waits
@@ -155,6 +242,7 @@
         """Serve until cancelled."""
         async with anyio.create_task_group() as tasks:
             self.tasks = tasks
+            self.background.open(tasks)
             self._listen(tasks)
             for duty in (
                 self.watch.run,
@@ -265,6 +353,25 @@
         self.dependency_resolver.due.set()
         self.plan_due.set()
 
+    def _advance_time(self) -> float:
+        """Set the moment as of which the cluster view answers to now, and return it, in seconds."""
+        now = self.cluster_view.now = clock.now()
+        return now
+
+    def _reporting_agents(self, now: float) -> int | None:
+        """How many agents report here; None: none reaches this controller, so it takes none."""
+        return None if self.agent_service.deaf(now) else self.agent_service.count
+
+    def _machine_updated(self, update: MachineUpdate) -> None:
+        """A peer says that a machine came or changed."""
+        self._advance_time()
+        self.cluster_view.tell(update.node, update.machine, update.seen)
+        self.plan_due.set()
+
+    async def _serve_forwarded(self, request: Request) -> Response:
+        """Serve a request that a peer forwarded; whatever goes wrong becomes a response."""
+        return await self.job_api.guarded(lambda: self.job_api.route(request), request.path)
+
     def _moved(self) -> None:
         """A team came or went: see it in the records, and plan."""
         self.watch.wake()
--- a/src/sandladder/membership/__init__.py
+++ b/src/sandladder/membership/__init__.py
@@ -1,28 +1,40 @@
-"""Who lives: suspicion before verdict, an agreed roster, and what is handed over.
+"""Membership: which controllers take part, how healthy they are, and what each is responsible for.
 
-`arrivals` and `grading` judge the other controllers from what is seen of them, `roster` is the
-agreed record and the changes that it may undergo, `policy` decides what to write next,
-`spread` shares machines out, and `duty` is the one routine that talks.  See docs/membership.md.
+It owns this controller's lease and fencing token (`controller_lease`, `inventory_writer`), the
+roster and its transitions (`roster`, `roster_transitions`), and the assessments of the other
+controllers (`phi_accrual`, `failure_detector`, `health`).  `policy` decides what to write,
+`service` commits it, and `worker_assignment` shares the agents out among the controllers.
+
+It never proves a loss or an end, starts no task, and sends nothing: whoever is suspected wrongly
+loses time, and no rule is broken.  See docs/membership.md.
 """
 
 from sandladder.membership.controller_lease import ControllerLease
-from sandladder.membership.failure_detector import FailureDetector, HealthLevel, PeerStatus
-from sandladder.membership.phi_accrual import MOST_PHI, PhiAccrualWindow
-from sandladder.membership.policy import MembershipChange, MembershipPolicy
-from sandladder.membership.roster import RosterRecords, RosterTransition, may_place
+from sandladder.membership.failure_detector import FailureDetector
+from sandladder.membership.health import HealthAssessment, HealthLevel, PeerStatus
+from sandladder.membership.inventory_writer import AgentInventory, InventoryWriter
+from sandladder.membership.phi_accrual import MAX_PHI, PhiAccrualWindow
+from sandladder.membership.policy import ChangeKind, MembershipChange, MembershipPolicy
+from sandladder.membership.roster import RosterRecords, may_place
+from sandladder.membership.roster_transitions import RosterTransition
 from sandladder.membership.service import MembershipService
-from sandladder.membership.worker_assignment import WorkerAssignment, WorkerLoad
+from sandladder.membership.worker_assignment import ReportingAgent, WorkerAssignment, WorkerLoad
 
 __all__ = [
+    "MAX_PHI",
+    "AgentInventory",
+    "ChangeKind",
     "ControllerLease",
     "FailureDetector",
+    "HealthAssessment",
     "HealthLevel",
-    "MOST_PHI",
+    "InventoryWriter",
     "MembershipChange",
     "MembershipPolicy",
     "MembershipService",
     "PeerStatus",
     "PhiAccrualWindow",
+    "ReportingAgent",
     "RosterRecords",
     "RosterTransition",
     "WorkerAssignment",
--- a/src/sandladder/membership/controller_lease.py
+++ b/src/sandladder/membership/controller_lease.py
@@ -1,13 +1,14 @@
-"""The hold on the state service, the term that comes with it, and the room summary under it."""
+"""This controller's own lease in the state service, and the fencing token that comes with it."""
 
 import logging
-from typing import TYPE_CHECKING, Any
+from collections.abc import Callable
 
 import anyio
 
 from sandladder import clock
 from sandladder.concurrency import Signal
-from sandladder.model import SCHEMA_V1, SCHEMA_V2, MachineInventory, MachineStatus
+from sandladder.membership.inventory_writer import InventoryWriter
+from sandladder.model import SCHEMA_V2
 from sandladder.protocol import wire
 from sandladder.state import (
     P_HOLD,
@@ -15,233 +16,245 @@
     SCHEMA_VERSION_KEY,
     TERM,
     TYPES,
+    GroupCommitter,
     LeaseExpiredError,
     LeaseRenewal,
     PendingChange,
     PreconditionFailedError,
+    StateCache,
+    StoreClient,
     StoreRequestError,
+    StoreWatch,
     Transaction,
     fresh,
-    inventory_changes,
-    put_inventory,
     schema_version_value,
-    stamp_parts,
 )
 
-if TYPE_CHECKING:
-    from sandladder.controller import Controller
-
 log = logging.getLogger(__name__)
 
+# The lease is renewed so many times in its duration.
+_RENEWALS_PER_LEASE = 8
+# A lease counts for less than its duration, since clocks drift apart, and a little less again.
+_DRIFT_FACTOR = 0.998
+_MARGIN_S = 0.05
+
 
 class ControllerLease:
-    """Keeps this controller's hold, and tells whether it surely lasts."""
+    """Acquires and renews this controller's lease, and says whether it surely lasts.
 
-    def __init__(self, controller: "Controller") -> None:
-        self._c = controller
-        self._hold_s = controller.settings.operator.hold_leases * controller.lease_s
-        self._renewal: LeaseRenewal | None = None
-        self._present = False  # our summary is in the store under the current lease
-        self._stood = False  # our summary was the one under our name
-        # Another process has entered under our name after us: it is the controller now.
+    While it does, and only then, this controller answers agents and acts.  Under it stand the
+    controller's presence, its inventory, and its fencing token, which no other controller has.
+    """
+
+    def __init__(
+        self,
+        *,
+        node: str,
+        process: int,
+        ttl_s: float,
+        report_s: float,
+        inventory_interval_s: float,
+        cache: StateCache,
+        store: StoreClient,
+        watch: StoreWatch,
+        committer: GroupCommitter,
+        inventory: InventoryWriter,
+        fencing_token: Callable[[], int],
+        on_fencing_token: Callable[[int], None],
+        on_acquired: Callable[[int], None],
+    ) -> None:
+        """Set the lease up; `run` acquires it.
+
+        Args:
+            node: the controller's name.
+            process: tells the controller's processes apart.
+            ttl_s: the lease's duration, in seconds.
+            report_s: between two heartbeats of an agent, in seconds.
+            inventory_interval_s: between two inventories, in seconds.
+            cache: the records as this process knows them.
+            store: the state service.
+            watch: brings the cache up to date.
+            committer: commits changes.
+            inventory: writes the inventory.
+            fencing_token: the present one, 0 before the first.
+            on_fencing_token: called with each token that was acquired.
+            on_acquired: called with the token when the lease and the presence under it are there.
+        """
+        self._node = node
+        self._process = process
+        self._ttl_s = ttl_s
+        self._report_s = report_s
+        self._inventory_interval_s = inventory_interval_s
+        self._cache = cache
+        self._store = store
+        self._watch = watch
+        self._committer = committer
+        self._inventory = inventory
+        self._fencing_token = fencing_token
+        self._on_fencing_token = on_fencing_token
+        self._on_acquired = on_acquired
+        # Another process has acquired a lease under this name since: this one is fenced.
         self.superseded = False
-        # The head of a summary whose further parts are written already, and how many such.
-        self._ahead: list[tuple[str, Any]] = []
-        self._stamps = 0
-        self._term_lock = anyio.Lock()
+        self._renewal: LeaseRenewal | None = None
+        self._present = False  # the inventory is in the store under the present lease
+        self._was_present = False  # the inventory under this name was this process's
+        self._token_lock = anyio.Lock()
         self._due = Signal()
 
     def alive(self) -> bool:
-        """Whether our own hold surely lasts: only then do we answer workers or act."""
+        """Whether the lease surely lasts."""
         renewal = self._renewal
         if self.superseded:
             return False
         return self._present and renewal is not None and clock.now() < renewal.until
 
     def observe(self) -> None:
-        """See whose summary stands under our name now.
+        """The records changed: see whose inventory stands under this controller's name.
 
-        The platform runs one process of each controller.  Should there be two all the same,
-        the one that entered last stays and the other stands still until that one's hold ends.
+        The platform runs one process of each controller.  Should there be two all the same, the one
+        that acquired its lease last stays, and the other is fenced until that one's lease ends.
         """
-        standing = self._c.cache.nodes.get(self._c.node)
-        if standing is not None and standing.process == self._c.process:
-            self._stood = True
-        elif standing is not None and self._stood:
-            log.error("another process runs as %s: this one stands still", self._c.node)
-            self.superseded, self._stood = True, False
-            self._renewal, self._present = None, False
-        elif standing is None and self.superseded:
-            log.warning("the other process that ran as %s is gone", self._c.node)
+        inventory = self._cache.nodes.get(self._node)
+        if inventory is not None and inventory.process == self._process:
+            self._was_present = True
+        elif inventory is not None and self._was_present:
+            log.error("another process runs as controller %s: this one is fenced", self._node)
+            self.superseded = True
+            self._was_present = False
+            self._forget()
+        elif inventory is None and self.superseded:
+            log.warning("the other process that ran as controller %s is gone", self._node)
             self.superseded = False
             self._due.set()
 
-    def _until(self, sent: float) -> float:
-        # Counted from when the request was sent; clocks drift apart.
-        return sent + self._hold_s * 0.998 - 0.05
-
     async def run(self) -> None:
+        """Acquire the lease and renew it until cancelled; it expires by itself then."""
+        renewal_interval_s = self._ttl_s / _RENEWALS_PER_LEASE
         while True:
             if self.superseded:
-                await self._due.wait(self._hold_s / 8)
+                await self._due.wait(renewal_interval_s)
                 continue
             try:
                 if self._renewal is None or not self._present:
-                    await self._enter()
+                    await self._acquire()
                 else:
-                    sent = clock.now()
-                    await self._c.store.renew(self._renewal.lease)
-                    self._renewal = LeaseRenewal(self._renewal.lease, self._until(sent))
+                    await self._renew(self._renewal.lease)
             except LeaseExpiredError:
-                log.warning("the hold has ended")
-                self._renewal, self._present = None, False
+                log.warning("the lease of controller %s has expired", self._node)
+                self._forget()
                 continue
             except (
                 StoreRequestError,
                 PreconditionFailedError,
                 wire.MalformedMessageError,
             ) as error:
-                log.debug("the hold cannot be renewed: %s", error)
-                await anyio.sleep(self._c.report_s / 10)
+                log.debug("the lease of controller %s cannot be renewed: %s", self._node, error)
+                await anyio.sleep(self._report_s / 10)
                 continue
-            await self._due.wait(self._hold_s / 8)
-
-    async def _enter(self) -> None:
-        """Get a hold, a term, and the presence that the other controllers see."""
-        renewal = self._renewal
-        if renewal is None or clock.now() >= renewal.until:
-            sent = clock.now()
-            lease = await self._c.store.grant_lease(self._hold_s)
-            renewal = LeaseRenewal(lease, self._until(sent))
-        # While the records are read the hold may end, and only a renewal would tell.
-        await self._c.watch.barrier()
-        await self._take_term(renewal.lease)
-        if self.superseded:
-            return
-        self._renewal, self._present = renewal, True
-        self._c.membership.entered(self._c.reconciler.term)
-        log.info("entered with term %d", self._c.reconciler.term)
-
-    async def _take_term(self, lease: int, above: int = 0) -> None:
-        """Increase the one counter of terms; the number is ours alone."""
-        taken = 0
-        await self._write_ahead(lease)
+            await self._due.wait(renewal_interval_s)
 
-        def apply(transaction: Transaction) -> bool:
-            nonlocal taken
-            if self.superseded:
-                raise PreconditionFailedError("another process runs under our name")
-            cache = self._c.cache
-            taken = max(cache.term, above) + 1
-            transaction.put(TERM, taken, cache.version(TERM))
-            if fresh(cache):
-                # No version before this one ever wrote here: it begins in our form.
-                transaction.put(SCHEMA_VERSION_KEY, schema_version_value(SCHEMA_V2), 0)
-                transaction.expected_versions[TYPES] = 0
-            self._put_summary(transaction, taken, lease)
-            return True
+    async def rise_above(self, token: int) -> bool:
+        """Acquire a fencing token above one that an agent has seen: the agent has come here.
 
-        change = self._c.committer.add(PendingChange("term", P_HOLD, 2, apply, leased=True))
-        await change.wait()
-        self._c.reconciler.new_term(taken)
+        Waits for the state service, at most an agent's heartbeat interval.  Cancelled, a token may
+        be acquired all the same, and is then never used.
 
-    async def rise_above(self, token: int) -> bool:
-        """Take a term above a worker's token, because the worker has come to us."""
-        async with self._term_lock:
-            if self._c.reconciler.term >= token:
+        Returns:
+            False if that failed.
+        """
+        async with self._token_lock:
+            if self._fencing_token() >= token:
                 return True
             try:
-                with anyio.fail_after(self._c.report_s):
-                    await self._c.watch.barrier()
+                with anyio.fail_after(self._report_s):
+                    await self._watch.barrier()
                     if self._renewal is None:
                         return False
-                    await self._take_term(self._renewal.lease, token)
+                    await self._acquire_fencing_token(self._renewal.lease, token)
             except (TimeoutError, LeaseExpiredError, PreconditionFailedError):
                 return False
             return True
 
-    def _put_summary(self, transaction: Transaction, term: int, lease: int) -> None:
-        changes = self._ahead or self._changes(transaction, term)
-        put_inventory(transaction, self._c.node, changes, lease, self._c.limits.txn_ops)
+    async def summarise(self) -> None:
+        """Write the inventory every few seconds until cancelled."""
+        while True:
+            await anyio.sleep(self._inventory_interval_s)
+            if not self.alive() or self._renewal is None:
+                await anyio.sleep(self._report_s / 6)
+                continue
+            try:
+                await self._write_inventory(self._renewal.lease)
+            except LeaseExpiredError:
+                self._forget()
+                self._due.set()
+            except PreconditionFailedError as refusal:
+                log.error("the inventory of controller %s was refused: %s", self._node, refusal)
 
-    def _changes(self, transaction: Transaction, term: int) -> list[tuple[str, Any]]:
-        return inventory_changes(
-            transaction, self._c.node, self._summary(term), self._c.limits.value_bytes
-        )
+    def _forget(self) -> None:
+        """The lease has ended, as far as this process is concerned."""
+        self._renewal = None
+        self._present = False
 
-    async def _write_ahead(self, lease: int) -> None:
-        """Write the further parts of a summary that no transaction holds as a whole.
+    def _expires_at(self, sent: float) -> float:
+        """Until when a lease surely lasts that was granted or renewed by a request sent then."""
+        return sent + self._ttl_s * _DRIFT_FACTOR - _MARGIN_S
 
-        What follows writes its head, and with it the summary counts.
-        """
-        self._ahead = []
-        changes = self._changes(Transaction(self._c.cache), self._c.reconciler.term)
-        if self._c.cache.schema_version == SCHEMA_V1 or len(changes) < self._c.limits.txn_ops:
+    async def _acquire(self) -> None:
+        """Acquire a lease, a fencing token, and the presence that the other controllers see."""
+        renewal = self._renewal
+        if renewal is None or clock.now() >= renewal.until:
+            sent = clock.now()
+            lease = await self._store.grant_lease(self._ttl_s)
+            renewal = LeaseRenewal(lease, self._expires_at(sent))
+        # While the records are read the lease may expire, and only a renewal would show it.
+        await self._watch.barrier()
+        await self._acquire_fencing_token(renewal.lease)
+        if self.superseded:
             return
-        self._stamps += 1
-        stamp = (self._c.reconciler.term << 20) + self._stamps
-        *ahead, head = stamp_parts(changes[0][0], [value for _, value in changes], stamp)
-        for key, value in ahead:
+        self._renewal, self._present = renewal, True
+        fencing_token = self._fencing_token()
+        self._on_acquired(fencing_token)
+        log.info("controller %s acquired its lease, fencing token %d", self._node, fencing_token)
 
-            def apply(transaction: Transaction, key: str = key, value: Any = value) -> bool:
-                transaction.write(key, value, lease)
-                return True
+    async def _renew(self, lease: int) -> None:
+        sent = clock.now()
+        await self._store.renew(lease)
+        if self._renewal is not None:  # else this process was fenced meanwhile
+            self._renewal = LeaseRenewal(lease, self._expires_at(sent))
 
-            await self._c.committer.add(
-                PendingChange("part of the summary", P_USER, 1, apply, leased=True)
-            ).wait()
-        self._ahead = [head]
-
-    def _summary(self, term: int) -> MachineInventory:
-        now = clock.now()
-        self._c.cluster_view.now = now
-        machines = {}
-        for machine in self._c.lease_expiry.machines():
-            age = self._c.lease_expiry.age(machine, now)
-            agent = self._c.reconciler.machines.get(machine)
-            if age is None or agent is None:
-                continue
-            report = agent.report
-            notice = agent.notice_at
-            machines[machine] = MachineStatus(
-                type=report.type,
-                zone=report.zone,
-                spot=report.spot,
-                session=report.session,
-                age_s=round(age, 2),
-                notice_s=None if notice is None else round(notice - now, 1),
-                errors=len(agent.failed),
-                images=tuple(self._c.cluster_view.images.names(machine, report.session)[-4:]),
-            )
-        up_s = round(self._c.lease_expiry.up_s(now), 2)
-        return MachineInventory(
-            term, up_s, self._c.cache.revision, machines, SCHEMA_V2, self._c.process
-        )
+    async def _acquire_fencing_token(self, lease: int, above: int = 0) -> None:
+        """Increase the one counter of fencing tokens; the number is this process's alone.
 
-    async def summarise(self) -> None:
-        """Write the room summary every few seconds."""
-        period = self._c.cluster_view.inventory_interval_s
-        while True:
-            await anyio.sleep(period)
-            if not self.alive() or self._renewal is None:
-                await anyio.sleep(self._c.report_s / 6)
-                continue
-            lease = self._renewal.lease
+        The inventory goes along, so the token is never seen without its holder's presence.
+        """
+        acquired = 0
+        await self._inventory.write_ahead(lease)
 
-            def apply(transaction: Transaction, lease: int = lease) -> bool:
-                if self.superseded:
-                    return False
-                self._put_summary(transaction, self._c.reconciler.term, lease)
-                return True
+        def apply(transaction: Transaction) -> bool:
+            nonlocal acquired
+            if self.superseded:
+                raise PreconditionFailedError("another process runs under our name")
+            acquired = max(self._cache.term, above) + 1
+            transaction.put(TERM, acquired, self._cache.version(TERM))
+            if fresh(self._cache):
+                # No former version ever wrote here: the records begin in the newest schema.
+                transaction.put(SCHEMA_VERSION_KEY, schema_version_value(SCHEMA_V2), 0)
+                transaction.expected_versions[TYPES] = 0
+            self._inventory.put(transaction, acquired, lease)
+            return True
 
-            try:
-                await self._write_ahead(lease)
-                await self._c.committer.add(
-                    # Others place on our machines by what it says: it must not starve.
-                    PendingChange("summary", P_USER, 1, apply, leased=True)
-                ).wait()
-            except LeaseExpiredError:
-                self._renewal, self._present = None, False
-                self._due.set()
-            except PreconditionFailedError as refusal:
-                log.error("the summary was refused: %s", refusal)
+        change = PendingChange("fencing token", P_HOLD, 2, apply, leased=True)
+        await self._committer.add(change).wait()
+        self._on_fencing_token(acquired)
+
+    async def _write_inventory(self, lease: int) -> None:
+        def apply(transaction: Transaction) -> bool:
+            if self.superseded:
+                return False
+            self._inventory.put(transaction, self._fencing_token(), lease)
+            return True
+
+        await self._inventory.write_ahead(lease)
+        # The other controllers start tasks on our machines by the inventory: it must not starve.
+        change = PendingChange("inventory", P_USER, 1, apply, leased=True)
+        await self._committer.add(change).wait()
--- a/src/sandladder/membership/failure_detector.py
+++ b/src/sandladder/membership/failure_detector.py
@@ -1,85 +1,68 @@
-"""What a controller makes of each other one, with the evidence: a graded view, never a verdict.
+"""The failure detector: how healthy this process takes each other controller to be, and why.
 
-Four kinds of witnesses speak of a controller: our own link to it, the beats of the others (each
-says whom its sender hears), what it writes to the state service, and machines that came over from
-it.  A controller that is late itself distrusts its own ears first.  Pure.
+An accrual detector on each link (`phi_accrual`) gives the suspicion; four kinds of witnesses bear
+it out: this process's own link, the observations that the other controllers send in their
+heartbeats, what the suspect writes to the state service, and agents that move over from it.
+
+Local health comes first, as in Lifeguard (Dadgar, Phillips and Currey, "Lifeguard: local health
+awareness for more accurate failure detection", 2018): a process whose own timers are late allows
+the others more time, suspects nobody and is no witness.
+
+The result is an assessment, never a verdict.  Pure: times are given, in seconds on the steady
+clock.
 """
 
-import enum
 import math
-from collections.abc import Iterable
-from typing import NamedTuple
+from collections.abc import Iterable, Iterator
 
+from sandladder.membership.health import HealthAssessment, HealthLevel, PeerStatus
 from sandladder.membership.phi_accrual import PhiAccrualWindow
-
-# At these levels a silence is odd, and is as good as none being left.
-_ODD_PHI, _SILENT_PHI = 2.0, 8.0
-# Late by more than this share of the time between two signs, a controller calls itself late; the
-# times that it allows others grow with that, up to so many times.
-_LATE, _WIDEST = 0.5, 8.0
-# A summary that is overdue by so many of its periods speaks against its writer.
-_OVERDUE = 2.5
-# What the lateness of the last wakings counts against the one before.
-_FRESH_SHARE = 0.25
-# Machines come over from a controller one at a time all the while; so many at once say something.
-_FEW_MACHINES = 3
-
-
-class HealthLevel(enum.IntEnum):
-    """How a controller is doing, from best to worst."""
-
-    LIVE = 0
-    SLOW = 1  # it speaks, late
-    CUT = 2  # we do not hear it, and somebody does
-    UNABLE = 3  # it says itself that it cannot do its part
-    SUSPECT = 4  # nobody hears it
-    LEFT = 5  # it said that it goes
-    ENDED = 6  # its hold has ended: the one verdict, from the state service
-
-
-class PeerStatus(NamedTuple):
-    """What a controller says of itself and of the others in each beat."""
-
-    term: int  # with which its process entered; 0 before that
-    token: int  # its term now
-    store_reachable: bool  # it reaches the state service and its hold lasts
-    late_s: float  # how late its own timers fire
-    machines: int | None  # that report to it; None: it does not say
-    leaving: bool
-    # By controller, for how long it has not heard it, and whether connections are refused.
-    heard: dict[str, tuple[float, bool]]
-
-
-class HealthAssessment(NamedTuple):
-    """A grade with its evidence."""
-
-    grade: HealthLevel
-    why: str
-    against: int = 0  # independent witnesses that do not see it
-    refused: bool = False  # all who speak against it were refused the connection
-    silent_s: float = 0.0  # since when nobody has seen a sign of it
-
-    @property
-    def able(self) -> bool:
-        """Whether it can be given something to do."""
-        return self.grade <= HealthLevel.SLOW
+from sandladder.transport import LinkObservation
+
+# From these levels on a heartbeat is late, or as good as lost.
+_LATE_PHI = 2.0
+_SILENT_PHI = 8.0
+# Timers later than this share of a heartbeat interval make a controller call itself late.
+_LATE_SHARE = 0.5
+# Intervals are stretched at most so much because this process is late itself.
+_MAX_HEALTH_MULTIPLIER = 8.0
+# Heartbeat intervals by which a wakeup is late after which this process had been paused.
+_PAUSED_INTERVALS = 2
+# Heartbeat intervals after such a pause before anyone is judged.
+_WARM_UP_INTERVALS = 2
+# Heartbeat intervals within which another controller's observation counts as contact.
+_CONTACT_INTERVALS = 4
+# A write must be seen so many heartbeat intervals after the last heartbeat to speak for its writer.
+_WRITE_MARGIN_INTERVALS = 2
+# An inventory that is overdue by so many of its periods speaks against its writer.
+_OVERDUE_PERIODS = 2.5
+# The weight of the latest wakeup in the smoothed lateness of this process's timers.
+_SMOOTHING = 0.25
+# Agents change their controller one at a time all the while; so many at once are evidence.
+_AGENT_FAILOVERS = 3
+
+# Evidence for an eviction, as it is stored in the roster.
+NO_LEASE = "it holds nothing in the state service"
 
 
 class _Peer:
-    """What is kept of one other controller."""
+    """What is known of one other controller."""
 
     def __init__(self, heartbeat_interval_s: float) -> None:
-        self.arrivals = PhiAccrualWindow(heartbeat_interval_s)
-        self.word: PeerStatus | None = None
-        self.refused = False
-        self.written_at = -math.inf  # when we saw the last thing that it wrote
-        self.held = False  # its hold lasts, as far as the records say
-        self.came_over: list[float] = []  # when machines came from it to us
-        self.known_at: float | None = None  # since when we could have heard it
+        self.heartbeats = PhiAccrualWindow(heartbeat_interval_s)
+        self.status: PeerStatus | None = None
+        self.connection_refused = False
+        self.last_write = -math.inf  # when something that it wrote to the store was first seen
+        self.holds_lease = False  # by the records
+        self.agent_failovers: list[float] = []  # when agents came from it to this process
+
+    def own_observation(self, now: float) -> LinkObservation:
+        """What this process observes on its own link."""
+        return LinkObservation(now - self.heartbeats.last_arrival, self.connection_refused)
 
 
 class FailureDetector:
-    """What one controller perceives of the others."""
+    """What one controller observes of the others, and how it judges them."""
 
     def __init__(
         self,
@@ -89,154 +72,201 @@
         report_s: float,
         inventory_interval_s: float,
     ) -> None:
-        """All times in seconds; `heartbeat_interval_s`: between two heartbeats at the most."""
+        """All intervals are in seconds.
+
+        Args:
+            node: the controller of this process.
+            peers: the other controllers.
+            heartbeat_interval_s: between two heartbeats of a controller at the most.
+            report_s: between two heartbeats of an agent.
+            inventory_interval_s: between two inventories that a controller writes.
+        """
         self.node = node
-        self.heartbeat_interval_s, self.report_s, self.inventory_interval_s = (
-            heartbeat_interval_s,
-            report_s,
-            inventory_interval_s,
-        )
+        self.heartbeat_interval_s = heartbeat_interval_s
+        self.report_s = report_s
+        self.inventory_interval_s = inventory_interval_s
+        self.late_s = 0.0  # how late this process's routines are woken, smoothed
         self._peers = {name: _Peer(heartbeat_interval_s) for name in peers}
-        self.late_s = 0.0  # how late our own routines are woken, smoothed
-        self._excused = -math.inf  # silence before this is ours
+        self._paused_until = -math.inf  # silence before this was this process's own
 
     def peers(self) -> list[str]:
         """The controllers that are judged."""
         return list(self._peers)
 
-    # What is perceived
+    # Observations
 
-    def heartbeat(self, node: str, word: PeerStatus, now: float) -> None:
-        """A beat came."""
+    def record_heartbeat(self, node: str, status: PeerStatus, now: float) -> None:
+        """A heartbeat arrived; from a controller that is no peer it is ignored."""
         peer = self._peers.get(node)
         if peer is not None:
-            peer.arrivals.heard(now)
-            peer.word, peer.refused = word, False
+            peer.heartbeats.record_arrival(now)
+            peer.status = status
+            peer.connection_refused = False
 
-    def refused(self, node: str, refused: bool) -> None:
-        """Whether our last connection to a peer was refused; that alone proves nothing."""
+    def record_connection(self, node: str, refused: bool) -> None:
+        """Whether the last connection to a peer was refused; that alone proves nothing."""
         peer = self._peers.get(node)
         if peer is not None:
-            peer.refused = refused
+            peer.connection_refused = refused
 
-    def wrote(self, node: str, now: float) -> None:
-        """We saw something in the records that this controller has just written."""
+    def record_write(self, node: str, now: float) -> None:
+        """Something that this controller has just written was seen in the records."""
         peer = self._peers.get(node)
         if peer is not None:
-            peer.written_at = now
+            peer.last_write = now
 
-    def holds(self, held: Iterable[str]) -> None:
-        """The controllers whose hold lasts, by the records."""
-        held = set(held)
+    def record_leases(self, holders: Iterable[str]) -> None:
+        """The controllers whose lease lasts, by the records."""
+        holders = set(holders)
         for name, peer in self._peers.items():
-            peer.held = name in held
+            peer.holds_lease = name in holders
 
     def came_over(self, node: str, now: float) -> None:
-        """A machine that reported to this controller reports to us now."""
+        """An agent that reported to this controller reports here now."""
         peer = self._peers.get(node)
         if peer is not None:
-            peer.came_over = [at for at in peer.came_over if now - at < self.report_s] + [now]
+            recent = [at for at in peer.agent_failovers if now - at < self.report_s]
+            peer.agent_failovers = [*recent, now]
 
-    def woke(self, late_s: float, now: float) -> None:
-        """A routine of ours was woken so much after the time it had asked for.
+    def record_wakeup(self, late_s: float, now: float) -> None:
+        """A routine of this process was woken so many seconds after the time it had asked for.
 
-        After standing still, everybody seems silent: what was missed is excused, and judged
-        anew from here.  Seen in a measured day: one that had been frozen took all teams.
+        After a pause of this process everybody seems silent: that silence is discounted, and the
+        others are judged anew from here.  Seen in a measured day: a controller that had been frozen
+        took all teams.
         """
-        self.late_s += (late_s - self.late_s) * _FRESH_SHARE
-        if late_s > 2 * self.heartbeat_interval_s:
-            self._excused = now
+        self.late_s += (late_s - self.late_s) * _SMOOTHING
+        if late_s > _PAUSED_INTERVALS * self.heartbeat_interval_s:
+            self._paused_until = now
             for peer in self._peers.values():
-                peer.arrivals.excuse(now)
+                peer.heartbeats.discount_silence(now)
 
-    # What is made of it
+    # Local health
 
     @property
-    def late(self) -> bool:
-        """Whether we are late ourselves, so that we accuse nobody."""
-        return self.late_s > _LATE * self.heartbeat_interval_s
+    def is_late(self) -> bool:
+        """Whether this process is late itself, so that it suspects nobody."""
+        return self._too_late(self.late_s)
 
     @property
-    def widen(self) -> float:
-        """How much longer we allow others because we are late."""
-        return min(_WIDEST, 1 + self.late_s / self.heartbeat_interval_s)
+    def health_multiplier(self) -> float:
+        """By how much more time others are allowed because this process is late (Lifeguard)."""
+        return min(_MAX_HEALTH_MULTIPLIER, 1 + self.late_s / self.heartbeat_interval_s)
+
+    def is_warmed_up(self, now: float) -> bool:
+        """Whether observations since the last pause of this process suffice to judge anyone."""
+        return now - self._paused_until > _WARM_UP_INTERVALS * self.heartbeat_interval_s
 
-    def collected(self, now: float) -> bool:
-        """Whether we have heard the world for long enough to judge anyone."""
-        return now - self._excused > 2 * self.heartbeat_interval_s
+    def _too_late(self, late_s: float) -> bool:
+        return late_s > _LATE_SHARE * self.heartbeat_interval_s
 
-    def word(self, node: str) -> PeerStatus | None:
-        """What a peer said last."""
+    # Assessments
+
+    def status(self, node: str) -> PeerStatus | None:
+        """What a peer said of itself last."""
         peer = self._peers.get(node)
-        return peer.word if peer is not None else None
+        return peer.status if peer is not None else None
 
-    def silences(self, now: float) -> dict[str, tuple[float, bool]]:
-        """For our own beat: for how long we have not heard each peer, and who refuses us."""
+    def observations(self, now: float) -> dict[str, LinkObservation]:
+        """What this process observes on the links to its peers, for its own heartbeat."""
         return {
-            name: (round(min(now - peer.arrivals.at, 1e6), 3), peer.refused)
+            name: LinkObservation(
+                round(min(now - peer.heartbeats.last_arrival, 1e6), 3), peer.connection_refused
+            )
             for name, peer in self._peers.items()
         }
 
-    def hears(self, node: str, now: float) -> bool:
-        """Whether we hear a peer ourselves, now."""
-        if node == self.node:
-            return True
-        peer = self._peers.get(node)
-        return (
-            peer is not None
-            and not peer.refused
-            and peer.arrivals.phi(now, self.widen) < _SILENT_PHI
-        )
+    def assess(self, node: str, now: float) -> HealthAssessment:
+        """How healthy a peer is on the evidence there is.
 
-    def judge(self, node: str, now: float) -> HealthAssessment:
-        """The grade of a peer on the evidence there is."""
+        Raises:
+            KeyError: the controller is no peer.
+        """
         peer = self._peers[node]
-        if not peer.held:
-            return HealthAssessment(HealthLevel.ENDED, "it holds nothing in the state service")
-        if self.hears(node, now):
-            return self._judge_heard(peer, now)
-        silent_s = now - max(peer.arrivals.at, peer.written_at)
-        mine = now - peer.arrivals.at
-        against = ["we were refused" if peer.refused else f"not heard for {mine:.1f} s"]
-        refused = peer.refused
-        for name, other in self._peers.items():
-            word = other.word
-            if name == node or word is None or not self.hears(name, now):
-                continue
-            told = word.heard.get(node)
-            if told is None or word.late_s > _LATE * self.heartbeat_interval_s:
-                continue  # it does not say, or distrusts its own ears
-            silence = told[0] + now - other.arrivals.at
-            if not told[1] and silence < 4 * self.heartbeat_interval_s:
-                return HealthAssessment(HealthLevel.CUT, f"{name} hears it", silent_s=silence)
-            silent_s = min(silent_s, silence)
-            against.append(f"{name} {'was refused' if told[1] else f'not for {silence:.1f} s'}")
-            refused = refused and told[1]
-        overdue = now - peer.written_at > _OVERDUE * self.inventory_interval_s
-        # What was written before it fell silent and read just after says nothing.
-        if not overdue and peer.written_at > peer.arrivals.at + 2 * self.heartbeat_interval_s:
+        if not peer.holds_lease:
+            return HealthAssessment(HealthLevel.EXPIRED, NO_LEASE)
+        if self._is_in_contact(peer, now):
+            return self._assess_in_contact(peer, now)
+        return self._assess_silent(node, peer, now)
+
+    def _is_in_contact(self, peer: _Peer, now: float) -> bool:
+        """Whether this process receives a peer's heartbeats itself."""
+        if peer.connection_refused:
+            return False
+        return peer.heartbeats.phi(now, self.health_multiplier) < _SILENT_PHI
+
+    def _assess_in_contact(self, peer: _Peer, now: float) -> HealthAssessment:
+        """The health of a peer whose heartbeats arrive, by what they say and when they came."""
+        status = peer.status
+        phi = peer.heartbeats.phi(now, self.health_multiplier)
+        if status is None:
+            return HealthAssessment(HealthLevel.SLOW, "it sent no status yet")
+        if status.leaving:
+            return HealthAssessment(HealthLevel.LEAVING, "it says that it goes")
+        if not status.store_reachable:
+            return HealthAssessment(HealthLevel.UNREADY, "it does not reach the state service")
+        if self._too_late(status.late_s):
+            return HealthAssessment(HealthLevel.SLOW, f"its timers are {status.late_s:.2f} s late")
+        if phi > _LATE_PHI:
+            return HealthAssessment(HealthLevel.SLOW, f"its heartbeat is late (phi {phi:.1f})")
+        return HealthAssessment(HealthLevel.HEALTHY, "")
+
+    def _assess_silent(self, node: str, peer: _Peer, now: float) -> HealthAssessment:
+        """The health of a peer whose heartbeats do not arrive, by the witnesses there are.
+
+        The texts of evidence are stored with a suspicion.
+        """
+        own = peer.own_observation(now)
+        evidence = ["we were refused" if own.refused else f"not heard for {own.silent_s:.1f} s"]
+        all_refused = own.refused
+        silent_s = now - max(peer.heartbeats.last_arrival, peer.last_write)
+        for name, observed in self._observations_by_others(node, now):
+            if self._shows_contact(observed):
+                return HealthAssessment(
+                    HealthLevel.PARTITIONED,
+                    f"{name} receives its heartbeats",
+                    silent_s=observed.silent_s,
+                )
+            silent_s = min(silent_s, observed.silent_s)
+            said = "was refused" if observed.refused else f"not for {observed.silent_s:.1f} s"
+            evidence.append(f"{name} {said}")
+            all_refused = all_refused and observed.refused
+        overdue = now - peer.last_write > _OVERDUE_PERIODS * self.inventory_interval_s
+        if not overdue and self._wrote_in_silence(peer):
             return HealthAssessment(
-                HealthLevel.CUT, "it writes to the state service", silent_s=silent_s
+                HealthLevel.PARTITIONED, "it writes to the state service", silent_s=silent_s
             )
         if overdue:
-            against.append("its summary is overdue")
-        came = sum(now - at < self.report_s for at in peer.came_over)
-        if came >= _FEW_MACHINES:
-            against.append(f"{came} machines came over")
+            evidence.append("its summary is overdue")
+        failovers = sum(now - at < self.report_s for at in peer.agent_failovers)
+        if failovers >= _AGENT_FAILOVERS:
+            evidence.append(f"{failovers} machines came over")
         return HealthAssessment(
-            HealthLevel.SUSPECT, ", ".join(against), len(against), refused, silent_s
+            HealthLevel.SUSPECT, ", ".join(evidence), len(evidence), all_refused, silent_s
         )
 
-    def _judge_heard(self, peer: _Peer, now: float) -> HealthAssessment:
-        word, phi = peer.word, peer.arrivals.phi(now, self.widen)
-        if word is None:
-            return HealthAssessment(HealthLevel.SLOW, "nothing said yet")
-        if word.leaving:
-            return HealthAssessment(HealthLevel.LEFT, "it says that it goes")
-        if not word.store_reachable:
-            return HealthAssessment(HealthLevel.UNABLE, "it does not reach the state service")
-        if word.late_s > _LATE * self.heartbeat_interval_s:
-            return HealthAssessment(HealthLevel.SLOW, f"its timers are {word.late_s:.2f} s late")
-        if phi > _ODD_PHI:
-            return HealthAssessment(HealthLevel.SLOW, f"its sign is late (phi {phi:.1f})")
-        return HealthAssessment(HealthLevel.LIVE, "")
+    def _observations_by_others(
+        self, node: str, now: float
+    ) -> Iterator[tuple[str, LinkObservation]]:
+        """What the other peers observe of one, as of now; only those whose observation counts."""
+        for name, other in self._peers.items():
+            status = other.status
+            if name == node or status is None or not self._is_in_contact(other, now):
+                continue
+            observed = status.observations.get(node)
+            if observed is None or self._too_late(status.late_s):
+                continue  # it does not say, or is late itself
+            silent_s = observed.silent_s + now - other.heartbeats.last_arrival
+            yield name, LinkObservation(silent_s, observed.refused)
+
+    def _shows_contact(self, observed: LinkObservation) -> bool:
+        recent = observed.silent_s < _CONTACT_INTERVALS * self.heartbeat_interval_s
+        return not observed.refused and recent
+
+    def _wrote_in_silence(self, peer: _Peer) -> bool:
+        """Whether a peer wrote since its last heartbeat.
+
+        What it wrote before it fell silent and was read just after says nothing.
+        """
+        margin_s = _WRITE_MARGIN_INTERVALS * self.heartbeat_interval_s
+        return peer.last_write > peer.heartbeats.last_arrival + margin_s
--- a/src/sandladder/membership/phi_accrual.py
+++ b/src/sandladder/membership/phi_accrual.py
@@ -1,74 +1,90 @@
-"""How the signs of life of one link are spread in time, and how odd a silence is.
+"""The distribution of one peer's heartbeats in time, and how improbable its silence is.
 
-The accrual of Hayashibara, Defago, Yared and Katayama ("The phi accrual failure detector",
-2004): the suspicion is a level from the times seen on this very link, not a fixed time.  Pure.
+The accrual of Hayashibara, Defago, Yared and Katayama ("The phi accrual failure detector", 2004):
+suspicion is a level that follows from the intervals seen on this very link, not a fixed timeout.
+Pure.
 """
 
 import math
 from collections import deque
 from statistics import NormalDist
 
-# So many signs are remembered, and what their spread is never taken to be below, as a share of
-# the time within which the sender promises the next one: timers and processors are coarse.
-_WINDOW, _LEAST_SPREAD = 64, 0.25
-# A silence past so many promised times is no sample: it was an outage, not the link's way.
-_OUTAGE = 4.0
-# The level at which a probability is no longer told from none.
-MOST_PHI = 16.0
+# Intervals that the window keeps.
+_WINDOW_SIZE = 64
+# The standard deviation is never taken to be less than this share of the heartbeat interval:
+# timers and processors are coarse.
+_MIN_DEVIATION_SHARE = 0.25
+# A silence of more heartbeat intervals than this is no sample: it was an outage.
+_OUTAGE_INTERVALS = 4.0
+# The level from which on a probability cannot be told from zero.
+MAX_PHI = 16.0
 
 
 class PhiAccrualWindow:
-    """The times between one peer's signs of life, on our steady clock."""
+    """The intervals between one peer's heartbeats, on this process's steady clock."""
 
-    def __init__(self, promised_s: float) -> None:
-        """`promised_s`: within what time, in seconds, the sender says something at the latest."""
-        self._promised_s = promised_s
-        self._times: deque[float] = deque(maxlen=_WINDOW)
-        self._sum = self._squares = 0.0
-        self.at = -math.inf  # when the last sign came
+    def __init__(self, heartbeat_interval_s: float) -> None:
+        """`heartbeat_interval_s`: between two heartbeats at the most, in seconds."""
+        self._heartbeat_interval_s = heartbeat_interval_s
+        self._intervals: deque[float] = deque(maxlen=_WINDOW_SIZE)
+        self._sum = 0.0
+        self._sum_of_squares = 0.0
+        self.last_arrival = -math.inf  # of a heartbeat; -inf: there was none
 
-    def heard(self, now: float) -> None:
-        """A sign came, at a steady time in seconds."""
-        took, self.at = now - self.at, now
-        # Signs that come more often than promised say nothing of how late one may be.
-        took = max(took, self._promised_s)
-        if took > _OUTAGE * self._promised_s:
+    def record_arrival(self, now: float) -> None:
+        """Take in a heartbeat that arrived now, in seconds on the steady clock."""
+        interval = now - self.last_arrival
+        self.last_arrival = now
+        # Heartbeats that come more often than they must say nothing of how late one may be.
+        interval = max(interval, self._heartbeat_interval_s)
+        if interval > _OUTAGE_INTERVALS * self._heartbeat_interval_s:
             return
-        if len(self._times) == _WINDOW:
-            oldest = self._times[0]
+        if len(self._intervals) == _WINDOW_SIZE:
+            oldest = self._intervals[0]
             self._sum -= oldest
-            self._squares -= oldest * oldest
-        self._times.append(took)
-        self._sum += took
-        self._squares += took * took
+            self._sum_of_squares -= oldest * oldest
+        self._intervals.append(interval)
+        self._sum += interval
+        self._sum_of_squares += interval * interval
 
-    def excuse(self, until: float) -> None:
-        """Count no silence before this time: it was ours, not the peer's."""
-        if self.at > -math.inf:
-            self.at = max(self.at, until)
+    def discount_silence(self, until: float) -> None:
+        """Count no silence before this time: it was this process's own, not the peer's."""
+        if self.last_arrival > -math.inf:
+            self.last_arrival = max(self.last_arrival, until)
 
     @property
     def mean_s(self) -> float:
-        """The usual time between two signs."""
-        return max(self._promised_s, self._sum / len(self._times) if self._times else 0.0)
+        """The mean interval in seconds, never less than the heartbeat interval."""
+        count = len(self._intervals)
+        return max(self._heartbeat_interval_s, self._sum / count if count else 0.0)
 
     @property
-    def spread_s(self) -> float:
-        """Their standard deviation, never less than what timers resolve."""
-        number = len(self._times)
-        if not number:
-            return self._promised_s * _LEAST_SPREAD
-        mean = self._sum / number
-        found = math.sqrt(max(0.0, self._squares / number - mean * mean))
-        return max(found, self._promised_s * _LEAST_SPREAD)
+    def deviation_s(self) -> float:
+        """The intervals' standard deviation in seconds, never less than what timers resolve."""
+        least = self._heartbeat_interval_s * _MIN_DEVIATION_SHARE
+        count = len(self._intervals)
+        if not count:
+            return least
+        mean = self._sum / count
+        variance = max(0.0, self._sum_of_squares / count - mean * mean)
+        return max(math.sqrt(variance), least)
 
-    def phi(self, now: float, widen: float = 1.0) -> float:
-        """How odd the present silence is: minus the decimal logarithm of its probability.
+    def phi(self, now: float, health_multiplier: float = 1.0) -> float:
+        """The level of suspicion: minus the decimal logarithm of the silence's probability.
 
-        0 to `MOST_PHI`; `widen` makes times so much longer, for a reader that is late itself.
+        Args:
+            now: in seconds on the steady clock.
+            health_multiplier: by how much longer intervals are taken to be, for an observer that
+                is late itself.
+
+        Returns:
+            0 to `MAX_PHI`.
         """
-        silence = now - self.at
+        silence = now - self.last_arrival
         if silence == math.inf:
-            return MOST_PHI
-        likely = NormalDist(self.mean_s * widen, self.spread_s * widen).cdf(silence)
-        return -math.log10(1 - likely) if likely < 1 - 10**-MOST_PHI else MOST_PHI
+            return MAX_PHI
+        intervals = NormalDist(
+            self.mean_s * health_multiplier, self.deviation_s * health_multiplier
+        )
+        probability = intervals.cdf(silence)
+        return -math.log10(1 - probability) if probability < 1 - 10**-MAX_PHI else MAX_PHI
--- a/src/sandladder/membership/policy.py
+++ b/src/sandladder/membership/policy.py
@@ -1,51 +1,85 @@
-"""What a controller does about the others: what to write into the roster, and when.
+"""The membership policy: what one controller writes into the roster about the others, and when.
 
-Preparation follows suspicion, what can be taken back follows two witnesses and a moment for the
-accused to answer in the state service, and only the end of a hold is a verdict.  Pure: the duty
-tells the time and commits what is decided here.
+Preparation follows suspicion; what can be taken back follows two witnesses and a moment for the
+suspect to refute in the state service; and only the end of a lease is a verdict.
+
+Pure: `MembershipService` gives the times and commits what is decided here.  Times are in seconds on
+the steady clock, except the time of day, which is called `wall`.
 """
 
+import enum
 import logging
 import math
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from sandladder.membership import roster
-from sandladder.membership.failure_detector import FailureDetector, HealthAssessment, HealthLevel
-from sandladder.membership.roster import RosterRecords, RosterTransition, homes, rightful, settle_s
+from sandladder.membership import roster_transitions as transitions
+from sandladder.membership.failure_detector import NO_LEASE, FailureDetector
+from sandladder.membership.health import HealthAssessment, HealthLevel
+from sandladder.membership.roster import (
+    RosterRecords,
+    home_controllers,
+    rightful_assignee,
+    settling_time_s,
+)
+from sandladder.membership.roster_transitions import RosterTransition
 from sandladder.model import IN, OUT, SCHEMA_V1, SUSPECT, Member, TeamAssignment
 from sandladder.state import ROSTER, StateCache
 
 log = logging.getLogger(__name__)
 
-# A silence that may be a moment's slowness is borne for a report interval; one that was refused
-# the connection by all who tried is not.  In report intervals:
-_BORNE = 1.0
-# How long a controller must have been without the state service, by its own word.
-_UNABLE = 0.5
-# How long an accused has to answer in the state service.
-_ANSWER = 0.25
-# How long all must have been well before one more team goes home.
-_CALM = 1.0
-# How long a team without any record waits for its home to enter.
-_FIRST = 0.5
-# How long a member must have been well before it gets back what it had.
-_SETTLED = 2.0
-# Whoever is next in order waits so many beats longer than the one before.
-_TURN = 2.0
+# In intervals between an agent's heartbeats (`report_s`):
+# A silence that may be a moment's slowness is tolerated for so long; one of a controller that
+# refused the connection to all who tried is not.
+_TOLERATED_SILENCE = 1.0
+# How long a controller must have been without the state service, by its own status.
+_TOLERATED_UNREADINESS = 0.5
+# How long a suspect has to refute in the state service.
+_REFUTATION_TIME = 0.25
+# How long all must have been healthy before one more team goes home.
+_STABLE_TIME = 1.0
+# How long a team without any record waits for its home to join.
+_HOME_JOIN_TIME = 0.5
+# How long a member must have been healthy before it gets its teams back, the first time.
+_SETTLING_TIME = 2.0
+
+# In heartbeat intervals of controllers: whoever is next in order waits so much longer than the one
+# before.
+_RANK_DELAY = 2.0
+# Independent witnesses that it takes to suspect a silent member.
+_MIN_WITNESSES = 2
 
 
-_Key = tuple[str, str, int, int]  # what, of which member, in which incarnation
+class ChangeKind(enum.Enum):
+    """What is to be changed in the roster or in a team's record."""
+
+    JOIN = "join"  # this process becomes a member
+    LEAVE = "leave"  # this process shuts down
+    REFUTE = "refute"  # this process is suspected, and lives
+    SUSPECT = "suspect"  # another member
+    CLEAR = "clear"  # another member of the suspicion
+    EVICT = "evict"  # another member
+    CLAIM = "claim"  # a team that is this controller's by the records
+    RETURN = "return"  # a team to its home
 
 
 class MembershipChange(NamedTuple):
-    """Something to be committed: what, about whom, and what was seen of them."""
+    """Something to commit: what, about whom, and what that was decided on."""
+
+    kind: ChangeKind
+    subject: str = ""  # the member or the team; "": this process
+    observed: Member | TeamAssignment | None = None
+    evidence: str = ""
+    assignee: str = ""  # RETURN: the member that gets the team
 
-    kind: str  # enter, leave, refute, accuse, acquit, expel, take or give
-    name: str = ""  # the member, or the team
-    seen: Member | TeamAssignment | None = None
-    why: str = ""
-    to: str = ""  # give: the member that gets the team
+
+class _PendingKey(NamedTuple):
+    """A condition on a member in one incarnation that must last before something follows."""
+
+    condition: str
+    node: str
+    incarnation: int
+    refuted: int
 
 
 class MembershipPolicy:
@@ -54,201 +88,286 @@
     def __init__(
         self, detector: FailureDetector, nodes: list[str], teams: Iterable[str], cache: StateCache
     ) -> None:
+        """Decide on the assessments of `detector` and on the records in `cache`.
+
+        Args:
+            detector: judges the other controllers.
+            nodes: all controllers of the settings, in order.
+            teams: all teams of the settings, in order.
+            cache: the records as this process knows them.
+        """
         self.detector = detector
         self.node = detector.node
-        self.homes = homes(teams, nodes)
-        self._mirror = cache
-        self.findings: dict[str, HealthAssessment] = {}
-        # When something was first seen to be due, by what it is about.
-        self._due: dict[_Key, float] = {}
-        self._moved_at = 0.0
-        self._placers: dict[str, TeamAssignment] = {}
-        self._ill_at = math.inf  # when something was last not well
-        self._well_since: float | None = None  # since when we could have acted
+        self.homes = home_controllers(teams, nodes)
+        self.assessments: dict[str, HealthAssessment] = {}
+        self._cache = cache
+        # Since when each condition has lasted.
+        self._pending_since: dict[_PendingKey, float] = {}
+        self._assignments: dict[str, TeamAssignment] = {}
+        self._reassigned_at = 0.0  # when an assignment last changed
+        self._unstable_at = math.inf  # when some member was last not healthy
+        self._able_since: float | None = None  # since when this process could have acted
 
     @property
-    def settled_s(self) -> float:
-        """How long a member must have been well, the first time, to get back what it had."""
-        return _SETTLED * self.detector.report_s
-
-    def step(self, now: float, wall: float, own: TeamAssignment | None) -> list[MembershipChange]:
-        """What to do now. `own` is this process if it may act: its hold lasts."""
-        self._judge(now)
-        if self._mirror.assignments != self._placers:
-            self._placers, self._moved_at = dict(self._mirror.assignments), now
-        if (
-            own is None
-            or self._mirror.schema_version == SCHEMA_V1
-            or ROSTER in self._mirror.unreadable
-        ):
-            self._well_since = None
-            self._due.clear()
+    def settling_time_s(self) -> float:
+        """How long a member must have been healthy, the first time, to get its teams back."""
+        return _SETTLING_TIME * self.detector.report_s
+
+    def decide(self, now: float, wall: float, own: TeamAssignment | None) -> list[MembershipChange]:
+        """Judge the others and return what to commit now, in order.
+
+        Args:
+            now: on the steady clock.
+            wall: the time of day.
+            own: this process if it may act: its lease lasts and it could write.
+        """
+        self._assess_peers(now)
+        self._note_assignments(now)
+        if own is None or not self._roster_usable:
+            self._able_since = None
+            self._pending_since.clear()
             return []
-        if self._well_since is None:
-            self._well_since = now
-        me = self._mirror.roster.get(self.node)
+        if self._able_since is None:
+            self._able_since = now
+        me = self._cache.roster.get(self.node)
         if me is None or me.state == OUT or me.term < own.term:
-            return [MembershipChange("enter")]
+            return [MembershipChange(ChangeKind.JOIN)]
         if me.term > own.term:
-            return []  # a later process runs under our name
+            return []  # a later process runs under this name
         if me.state == SUSPECT:
-            return [MembershipChange("refute")]
-        return [*self._take(now, own), *self._watch(now), *self._give(now, wall)]
-
-    def _judge(self, now: float) -> None:
-        """Grade the others; a change is one line in the log, with the evidence."""
-        self.detector.holds(self._mirror.nodes.keys() | self._mirror.unreadable_nodes)
-        known = self.detector.peers()
-        for node in known:
-            found = self.detector.judge(node, now)
-            before = self.findings.get(node)
-            self.findings[node] = found
-            if before is None or before.grade != found.grade:
-                reason = f": {found.why}" if found.why else ""
-                was = f", was {before.grade.name.lower()}" if before is not None else ""
-                log.info("%s is %s%s%s", node, found.grade.name.lower(), was, reason)
-        ill = self.detector.late or any(
-            member.state == SUSPECT
-            or (member.state == IN and node in self.findings and not self.findings[node].able)
-            for node, member in self._mirror.roster.items()
-        )
-        if ill or self._ill_at == math.inf:
-            self._ill_at = now
+            return [MembershipChange(ChangeKind.REFUTE)]
+        return [
+            *self._claims(now, self._able_since, own),
+            *self._changes_of_others(now),
+            *self._returns(now, wall),
+        ]
 
-    def _turn(self, now: float, key: _Key) -> bool:
-        """Whether it is our turn to do what has been due since we first asked.
+    def calm(self, now: float) -> bool:
+        """Whether all members, this one among them, have been healthy for a while."""
+        return now - self._unstable_at >= _STABLE_TIME * self.detector.report_s
 
-        One is enough: the first in order that is well does it, and whoever follows only if that
-        one does not.
+    def transition(
+        self, change: MembershipChange, cache: StateCache, own: TeamAssignment, wall: float
+    ) -> RosterTransition:
+        """The transition of these records that a change is.
+
+        Args:
+            change: what was decided.
+            cache: the records as they are when the change is tried.
+            own: this process.
+            wall: the time of day.
+
+        Raises:
+            PreconditionFailedError: what the change was decided on does not hold any more.
         """
-        since = self._due.setdefault(key, now)
-        rank = sum(
-            1
-            for node, member in self._mirror.roster.items()
-            if node < self.node and member.state == IN and self._able(node)
+        records = RosterRecords.of(cache)
+        subject, observed = change.subject, change.observed
+        match change.kind:
+            case ChangeKind.JOIN:
+                return transitions.join(records, self.node, own.term, wall, self.homes)
+            case ChangeKind.LEAVE:
+                return transitions.leave(records, self.node, own.term, wall)
+            case ChangeKind.REFUTE:
+                return transitions.refute(records, self.node, own.term)
+            case ChangeKind.CLAIM:
+                home = self.homes.get(subject, self.node)
+                return transitions.claim(records, subject, home, own)
+            case ChangeKind.RETURN:
+                assert isinstance(observed, TeamAssignment)
+                return transitions.reassign(records, subject, change.assignee, observed)
+        assert isinstance(observed, Member)
+        match change.kind:
+            case ChangeKind.SUSPECT:
+                return transitions.suspect(records, subject, observed, change.evidence)
+            case ChangeKind.CLEAR:
+                return transitions.clear(records, subject, observed)
+            case ChangeKind.EVICT:
+                return transitions.evict(
+                    records, subject, observed, change.evidence, wall, self.settling_time_s
+                )
+
+    # Assessments
+
+    @property
+    def _roster_usable(self) -> bool:
+        """Whether there is a roster to write: the schema has one, and it can be read."""
+        return self._cache.schema_version != SCHEMA_V1 and ROSTER not in self._cache.unreadable
+
+    def _assess_peers(self, now: float) -> None:
+        """Judge the others, log each change of level with its evidence, and note instability."""
+        self.detector.record_leases(self._cache.nodes.keys() | self._cache.unreadable_nodes)
+        for node in self.detector.peers():
+            assessment = self.detector.assess(node, now)
+            before = self.assessments.get(node)
+            self.assessments[node] = assessment
+            if before is None or before.level != assessment.level:
+                _log_assessment(node, before, assessment)
+        unhealthy = self.detector.is_late or any(
+            member.state == SUSPECT or (member.state == IN and self._is_unhealthy_peer(node))
+            for node, member in self._cache.roster.items()
         )
-        return now - since >= rank * _TURN * self.detector.heartbeat_interval_s
+        if unhealthy or self._unstable_at == math.inf:
+            self._unstable_at = now
+
+    def _is_unhealthy_peer(self, node: str) -> bool:
+        assessment = self.assessments.get(node)
+        return assessment is not None and not assessment.can_serve
 
-    def _able(self, node: str) -> bool:
-        found = self.findings.get(node)
-        return node == self.node or (found is not None and found.able)
+    def _can_serve(self, node: str) -> bool:
+        assessment = self.assessments.get(node)
+        return node == self.node or (assessment is not None and assessment.can_serve)
 
-    def _take(self, now: float, own: TeamAssignment) -> list[MembershipChange]:
-        """Teams that are ours by the records, and that our process does not place yet."""
-        assert self._well_since is not None
-        acts = []
+    def _note_assignments(self, now: float) -> None:
+        if self._cache.assignments != self._assignments:
+            self._assignments = dict(self._cache.assignments)
+            self._reassigned_at = now
+
+    # Teams that become this controller's
+
+    def _claims(self, now: float, able_since: float, own: TeamAssignment) -> list[MembershipChange]:
+        """Claims of the teams that are this controller's, and not yet assigned to its process."""
+        home_joining = now - able_since < _HOME_JOIN_TIME * self.detector.report_s
+        changes = []
         for team, home in self.homes.items():
-            assignment = self._mirror.assignments.get(team)
-            if (
-                assignment == own
-                or rightful(team, home, RosterRecords.of(self._mirror)) != self.node
-            ):
+            assignment = self._cache.assignments.get(team)
+            if assignment == own:
+                continue
+            if rightful_assignee(team, home, RosterRecords.of(self._cache)) != self.node:
                 continue
-            first = assignment is None and home != self.node
-            if first and now - self._well_since < _FIRST * self.detector.report_s:
-                continue  # its home is about to enter
-            acts.append(MembershipChange("take", team))
-        return acts
-
-    def _watch(self, now: float) -> list[MembershipChange]:
-        """What the others' state asks for."""
-        acts = []
-        live: set[_Key] = set()
-        for node, member in self._mirror.roster.items():
-            found = self.findings.get(node)
+            if assignment is None and home != self.node and home_joining:
+                continue
+            changes.append(MembershipChange(ChangeKind.CLAIM, team))
+        return changes
+
+    # Other members
+
+    def _changes_of_others(self, now: float) -> list[MembershipChange]:
+        """What the others' health asks for."""
+        changes = []
+        lasting: set[_PendingKey] = set()
+        for node, member in self._cache.roster.items():
             if node == self.node or member.state == OUT:
                 continue
-            if found is None:
-                # Named by no settings of ours; its hold alone says whether it lives.
-                if node in self._mirror.nodes:
-                    continue
-                found = HealthAssessment(HealthLevel.ENDED, "it holds nothing in the state service")
-            kind = self._wanted(node, found, member, now, live)
+            assessment = self._assessment_of_member(node)
+            if assessment is None:
+                continue
+            kind = self._change_of(node, member, assessment, now, lasting)
             if kind is None:
                 continue
-            key = (kind, node, member.term, member.refuted)
-            live.add(key)
-            if self._turn(now, key):
-                acts.append(MembershipChange(kind, node, member, found.why))
-        self._due = {key: at for key, at in self._due.items() if key in live}
-        return acts
-
-    def _wanted(
-        self, node: str, found: HealthAssessment, member: Member, now: float, live: set[_Key]
-    ) -> str | None:
-        """What is to become of a member that is in or under suspicion, or None."""
-        detector = self.detector
-        if found.grade is HealthLevel.ENDED:
-            return "expel"
-        if detector.late or not detector.collected(now):
-            return None  # we distrust ourselves first
-        if member.state == SUSPECT and found.able:
-            return "acquit"
-
-        def lasted(kind: str) -> float:
-            key = (kind, node, member.term, member.refuted)
-            live.add(key)
-            return now - self._due.setdefault(key, now)
-
-        if found.grade is HealthLevel.UNABLE:
-            ripe = lasted("unable") >= _UNABLE * detector.report_s
-        elif found.grade is HealthLevel.SUSPECT:
-            borne = found.refused or found.silent_s >= _BORNE * detector.report_s
-            ripe = found.against >= 2 and borne
+            key = _PendingKey(kind.value, node, member.term, member.refuted)
+            lasting.add(key)
+            if self._is_our_turn(now, key):
+                changes.append(MembershipChange(kind, node, member, assessment.evidence))
+        self._pending_since = {
+            key: since for key, since in self._pending_since.items() if key in lasting
+        }
+        return changes
+
+    def _assessment_of_member(self, node: str) -> HealthAssessment | None:
+        """The health of another member; None if nothing may be concluded.
+
+        For one that these settings do not name, its lease alone says whether it lives.
+        """
+        known = self.assessments.get(node)
+        if known is not None or node in self._cache.nodes:
+            return known
+        return HealthAssessment(HealthLevel.EXPIRED, NO_LEASE)
+
+    def _change_of(
+        self,
+        node: str,
+        member: Member,
+        assessment: HealthAssessment,
+        now: float,
+        lasting: set[_PendingKey],
+    ) -> ChangeKind | None:
+        """What is to become of a member that is in or suspected, if anything.
+
+        The conditions that this rests on are added to `lasting`.
+        """
+        if assessment.level is HealthLevel.EXPIRED:
+            return ChangeKind.EVICT
+        if self.detector.is_late or not self.detector.is_warmed_up(now):
+            return None  # the fault may be this process's own
+        if member.state == SUSPECT and assessment.can_serve:
+            return ChangeKind.CLEAR
+
+        def lasted_s(condition: str) -> float:
+            key = _PendingKey(condition, node, member.term, member.refuted)
+            lasting.add(key)
+            return now - self._pending_since.setdefault(key, now)
+
+        report_s = self.detector.report_s
+        if assessment.level is HealthLevel.UNREADY:
+            failed = lasted_s("unready") >= _TOLERATED_UNREADINESS * report_s
         else:
-            ripe = found.grade is HealthLevel.LEFT
+            failed = self._has_failed(assessment)
         if member.state == IN:
-            return "accuse" if ripe else None
-        answered = (
-            found.grade is HealthLevel.LEFT or lasted("answer") >= _ANSWER * detector.report_s
+            return ChangeKind.SUSPECT if failed else None
+        could_refute = (
+            assessment.level is HealthLevel.LEAVING
+            or lasted_s("suspected") >= _REFUTATION_TIME * report_s
         )
-        return "expel" if ripe and answered else None
+        return ChangeKind.EVICT if failed and could_refute else None
 
-    def calm(self, now: float) -> bool:
-        """Whether all that take part have been well for a while, we among them."""
-        return now - self._ill_at >= _CALM * self.detector.report_s
+    def _has_failed(self, assessment: HealthAssessment) -> bool:
+        """Whether a member is to be suspected at once: it leaves, or enough witnesses say so."""
+        if assessment.level is not HealthLevel.SUSPECT:
+            return assessment.level is HealthLevel.LEAVING
+        tolerated_s = _TOLERATED_SILENCE * self.detector.report_s
+        intolerable = assessment.all_refused or assessment.silent_s >= tolerated_s
+        return assessment.witnesses >= _MIN_WITNESSES and intolerable
 
-    def _give(self, now: float, wall: float) -> list[MembershipChange]:
-        """One team goes home, when all have been well for a while."""
-        detector, members = self.detector, self._mirror.roster
-        if not self.calm(now) or now - self._moved_at < _CALM * detector.report_s:
+    def _is_our_turn(self, now: float, key: _PendingKey) -> bool:
+        """Whether this controller is to do what has been due since this was first asked.
+
+        One is enough: the first healthy member in order does it, and whoever follows only if that
+        one does not.
+        """
+        due_since = self._pending_since.setdefault(key, now)
+        rank = sum(
+            1
+            for node, member in self._cache.roster.items()
+            if node < self.node and member.state == IN and self._can_serve(node)
+        )
+        return now - due_since >= rank * _RANK_DELAY * self.detector.heartbeat_interval_s
+
+    # Teams that go home
+
+    def _returns(self, now: float, wall: float) -> list[MembershipChange]:
+        """The return of one team to its home, when all have been healthy for a while."""
+        stable_s = _STABLE_TIME * self.detector.report_s
+        if not self.calm(now) or now - self._reassigned_at < stable_s:
             return []
-        first = min((n for n, m in members.items() if m.state == IN and self._able(n)), default="")
-        if first != self.node:
+        if self._first_healthy_member() != self.node:
             return []
         for team, home in self.homes.items():
-            assignment, member = self._mirror.assignments.get(team), members.get(home)
-            if (
-                assignment is None
-                or assignment.node == home
-                or member is None
-                or member.state != IN
-            ):
-                continue
-            if home != self.node and self.findings[home].grade is not HealthLevel.LIVE:
+            assignment = self._cache.assignments.get(team)
+            if assignment is None or assignment.node == home:
                 continue
-            if wall - member.since >= settle_s(member, self.settled_s):
-                return [MembershipChange("give", team, assignment, to=home)]
+            if self._may_go_home(home, wall):
+                return [MembershipChange(ChangeKind.RETURN, team, assignment, assignee=home)]
         return []
 
-    def move(
-        self, act: MembershipChange, cache: StateCache, own: TeamAssignment, wall: float
-    ) -> RosterTransition:
-        """The change of the records that an act is, on these records; refuses what fell away."""
-        records, seen = RosterRecords.of(cache), act.seen
-        if act.kind == "enter":
-            return roster.enter(records, self.node, own.term, wall, self.homes)
-        if act.kind == "leave":
-            return roster.leave(records, self.node, own.term, wall)
-        if act.kind == "refute":
-            return roster.refute(records, self.node, own.term)
-        if act.kind == "take":
-            return roster.take(records, act.name, self.homes.get(act.name, self.node), own)
-        if isinstance(seen, TeamAssignment):
-            return roster.give(records, act.name, act.to, seen)
-        assert isinstance(seen, Member)
-        if act.kind == "accuse":
-            return roster.accuse(records, act.name, seen, act.why)
-        if act.kind == "acquit":
-            return roster.acquit(records, act.name, seen)
-        return roster.expel(records, act.name, seen, act.why, wall, self.settled_s)
+    def _first_healthy_member(self) -> str:
+        """The first member in order that can serve; "" if there is none."""
+        members = self._cache.roster.items()
+        healthy = (node for node, member in members if member.state == IN and self._can_serve(node))
+        return min(healthy, default="")
+
+    def _may_go_home(self, home: str, wall: float) -> bool:
+        """Whether a team's home is in, healthy, and has been for its settling time."""
+        member = self._cache.roster.get(home)
+        if member is None or member.state != IN:
+            return False
+        if home != self.node and self.assessments[home].level is not HealthLevel.HEALTHY:
+            return False
+        return wall - member.since >= settling_time_s(member, self.settling_time_s)
+
+
+def _log_assessment(
+    node: str, before: HealthAssessment | None, assessment: HealthAssessment
+) -> None:
+    evidence = f": {assessment.evidence}" if assessment.evidence else ""
+    former = f", was {before.level.name.lower()}" if before is not None else ""
+    log.info("controller %s is %s%s%s", node, assessment.level.name.lower(), former, evidence)
--- a/src/sandladder/membership/service.py
+++ b/src/sandladder/membership/service.py
@@ -1,4 +1,4 @@
-"""The one routine of membership: it hears beats, tells the time, and commits what is decided."""
+"""The membership service: feeds the failure detector, and commits what the policy decides."""
 
 import logging
 from collections.abc import Callable, Mapping
@@ -8,10 +8,11 @@
 
 from sandladder import clock
 from sandladder.concurrency import Signal
-from sandladder.membership import roster
-from sandladder.membership.failure_detector import HealthAssessment, HealthLevel, PeerStatus
-from sandladder.membership.policy import MembershipChange, MembershipPolicy
-from sandladder.membership.roster import RosterRecords
+from sandladder.membership import roster_transitions
+from sandladder.membership.failure_detector import FailureDetector
+from sandladder.membership.health import HealthLevel, PeerStatus
+from sandladder.membership.policy import ChangeKind, MembershipChange, MembershipPolicy
+from sandladder.membership.roster import RosterRecords, rightful_assignee
 from sandladder.membership.worker_assignment import WorkerLoad
 from sandladder.model import IN, SUSPECT, MachineInventory, Member, TeamAssignment
 from sandladder.state import (
@@ -27,200 +28,247 @@
 
 log = logging.getLogger(__name__)
 
-# The routine looks so many times in the time between two beats.
-_LOOKS = 2
+# Decisions are made so many times in a heartbeat interval.
+_DECISIONS_PER_HEARTBEAT = 2
+# Changes that may move all teams at once.
+_MOVING_ALL_TEAMS = frozenset({ChangeKind.JOIN, ChangeKind.LEAVE, ChangeKind.EVICT})
 
 
 class LeaseStatus(Protocol):
-    """What is asked of this controller's own hold."""
+    """What is asked of this controller's own lease."""
 
-    def alive(self) -> bool: ...
+    def alive(self) -> bool:
+        """Whether the lease surely lasts."""
 
 
 class MembershipService:
-    """This controller's part in knowing who lives, and who places which team."""
+    """This controller's part in agreeing who is a member, and which member schedules which team."""
 
     def __init__(
         self,
+        *,
         policy: MembershipPolicy,
         zones: Mapping[str, str],
         cache: StateCache,
         committer: GroupCommitter,
-        hold: LeaseStatus,
-        reaches: Callable[[], bool],
         limits: StoreLimits,
+        lease: LeaseStatus,
+        store_reachable: Callable[[], bool],
         wall: Callable[[], float],
-        moved: Callable[[], None],
-        doubted: Callable[[frozenset[str]], None],
+        on_teams_moved: Callable[[], None],
+        on_unready_changed: Callable[[frozenset[str]], None],
     ) -> None:
-        """`zones` of the controllers; `reaches` tells whether the state service answers us of late;
-        `moved` is called when a team came to us or went, `doubted` with the controllers that cannot
-        do their part, whenever these change.
+        """Set the service up; `run` does its work.
+
+        Args:
+            policy: decides what to commit.
+            zones: of all controllers, by name.
+            cache: the records as this process knows them.
+            committer: commits changes.
+            limits: of the state service's transactions.
+            lease: this controller's own; nothing is written while it may have expired.
+            store_reachable: whether the state service answered of late.
+            wall: the time of day, in seconds.
+            on_teams_moved: called when this process changed the roster or a team's assignment.
+            on_unready_changed: called with the controllers that cannot do their part, whenever
+                these change.
         """
-        self.policy, self.detector = policy, policy.detector
+        self.policy = policy
+        self.detector: FailureDetector = policy.detector
         self.node = policy.node
-        self._zones = zones
-        self.own: TeamAssignment | None = None  # this process, once it has entered
+        self.own: TeamAssignment | None = None  # this process, once it has joined
         self.leaving = False
-        self.due = Signal()
-        self._mirror, self._committer, self._hold = cache, committer, hold
-        self._reaches, self._limits, self._wall, self._moved = reaches, limits, wall, moved
-        self._doubted, self._doubts = doubted, frozenset[str]()
-        self._under_way: set[tuple[str, str]] = set()
+        self._due = Signal()
+        self._zones = zones
+        self._cache = cache
+        self._committer = committer
+        self._limits = limits
+        self._lease = lease
+        self._store_reachable = store_reachable
+        self._wall = wall
+        self._on_teams_moved = on_teams_moved
+        self._on_unready_changed = on_unready_changed
+        self._unready: frozenset[str] = frozenset()
+        self._in_progress: set[tuple[ChangeKind, str]] = set()  # kind and subject
         self._inventories: dict[str, MachineInventory] = {}
         self._members: dict[str, Member] = {}
 
-    # What comes in
+    # Observations
 
-    def entered(self, term: int) -> None:
-        """The process got its first term: no other process ever has it."""
+    def lease_acquired(self, fencing_token: int) -> None:
+        """This process acquired its lease; its first fencing token is its incarnation."""
         if self.own is None:
-            self.own = TeamAssignment(self.node, term)
-        self.due.set()
+            self.own = TeamAssignment(self.node, fencing_token)
+        self._due.set()
 
-    def hear(self, node: str, word: PeerStatus) -> None:
-        """A peer's beat came."""
-        self.detector.heartbeat(node, word, clock.now())
+    def receive_heartbeat(self, node: str, status: PeerStatus) -> None:
+        """A peer's heartbeat arrived."""
+        self.detector.record_heartbeat(node, status, clock.now())
 
-    def link(self, node: str, refused: bool) -> None:
-        """The link to a peer broke, or was made anew; `refused`: nobody listens there."""
-        self.detector.refused(node, refused)
-        self.due.set()
+    def connection_changed(self, node: str, refused: bool) -> None:
+        """The connection to a peer was made, or could not be; `refused`: nobody listens there."""
+        self.detector.record_connection(node, refused)
+        self._due.set()
 
     def observe(self, now: float) -> None:
-        """The records changed: note who wrote something, and whether we are doubted."""
-        for node, inventory in self._mirror.nodes.items():
+        """The records changed: note who wrote something, and whether a member's state changed."""
+        for node, inventory in self._cache.nodes.items():
             if self._inventories.get(node) is not inventory:
                 self._inventories[node] = inventory
-                self.detector.wrote(node, now)
-        if self._mirror.roster is self._members:
+                self.detector.record_write(node, now)
+        if self._cache.roster is self._members:
             return
-        before, self._members = self._members, self._mirror.roster
+        before, self._members = self._members, self._cache.roster
         for node, member in self._members.items():
             known = before.get(node)
             if known is None or (member.term, member.refuted) > (known.term, known.refuted):
-                self.detector.wrote(node, now)
+                self.detector.record_write(node, now)
             if known is None or known.state != member.state:
-                self.due.set()
+                self._due.set()
 
-    # What others ask
+    # Questions
 
     def assignee(self, team: str) -> str | None:
-        """The member that should hear of what concerns a team."""
+        """The member that should learn of what concerns a team; None when nobody is in."""
         home = self.policy.homes.get(team, self.node)
-        return roster.rightful(team, home, RosterRecords.of(self._mirror))
+        return rightful_assignee(team, home, RosterRecords.of(self._cache))
 
     def members(self) -> list[str]:
-        """The controllers that take part by the roster, in order; the same for all."""
-        return [n for n, m in sorted(self._mirror.roster.items()) if m.state in (IN, SUSPECT)]
+        """The controllers that are in or suspected by the roster, in order; the same for all."""
+        roster = sorted(self._cache.roster.items())
+        return [node for node, member in roster if member.state in (IN, SUSPECT)]
 
     def loads(self, ours: int, token: int) -> dict[str, WorkerLoad]:
-        """The controllers that can take machines; `ours` report to us, under this term."""
-        found = {self.node: WorkerLoad(self._zones[self.node], ours, token)}
-        for node, finding in self.policy.findings.items():
-            word, member = self.detector.word(node), self._mirror.roster.get(node)
+        """The controllers that can take agents, this one among them.
+
+        Args:
+            ours: how many agents report to this controller.
+            token: its fencing token.
+        """
+        loads = {self.node: WorkerLoad(self._zones[self.node], ours, token)}
+        for node, assessment in self.policy.assessments.items():
+            status = self.detector.status(node)
+            member = self._cache.roster.get(node)
             if (
-                finding.grade is HealthLevel.LIVE
-                and word is not None
-                and word.machines is not None
+                assessment.level is HealthLevel.HEALTHY
+                and status is not None
+                and status.agents is not None
                 and member is not None
                 and member.state == IN
             ):
-                found[node] = WorkerLoad(self._zones[node], word.machines, word.token)
-        return found
+                loads[node] = WorkerLoad(self._zones[node], status.agents, status.fencing_token)
+        return loads
 
     def heard_elsewhere(self) -> bool:
-        """Whether machines report to some other controller that we hear."""
-        words = (self.detector.word(node) for node in self.able())
-        return any(word is not None and word.machines for word in words)
+        """Whether agents report to some other controller that can serve."""
+        statuses = (self.detector.status(node) for node in self.serving_peers())
+        return any(status is not None and status.agents for status in statuses)
 
-    def finding(self, node: str) -> HealthAssessment | None:
-        """What we make of a peer, with the evidence."""
-        return self.policy.findings.get(node)
+    def serving_peers(self) -> list[str]:
+        """The peers that can be given something to do: the healthy ones, if there are any."""
+        assessments = self.policy.assessments.items()
+        healthy = [node for node, found in assessments if found.level is HealthLevel.HEALTHY]
+        return healthy or [node for node, found in assessments if found.can_serve]
 
-    def able(self) -> list[str]:
-        """The peers that can be given something to do, the live ones if there are any."""
-        found = self.policy.findings
-        live = [node for node, finding in found.items() if finding.grade is HealthLevel.LIVE]
-        return live or [node for node, finding in found.items() if finding.able]
-
-    # The routine
+    # Changes
 
     async def leave(self, within_s: float) -> None:
-        """Hand over what is placed here before this process ends, if that is soon done."""
+        """Hand over this controller's teams before the process ends.
+
+        Waits until that is committed, or refused, at most `within_s` seconds.  Cancelled, the
+        change may be committed all the same.
+        """
         self.leaving = True
-        if self.own is not None and self._hold.alive():
+        if self.own is not None and self._lease.alive():
             with anyio.move_on_after(within_s):
-                await self._commit(MembershipChange("leave"))
+                await self._commit(MembershipChange(ChangeKind.LEAVE))
 
     async def run(self) -> None:
-        """Judge and act until cancelled."""
-        tick = self.detector.heartbeat_interval_s / _LOOKS
+        """Decide and commit until cancelled.
+
+        Changes that are not committed by then are given up; they may be committed all the same.
+        """
+        interval_s = self.detector.heartbeat_interval_s / _DECISIONS_PER_HEARTBEAT
         async with anyio.create_task_group() as tasks:
             while True:
-                asked = clock.now()
-                await self.due.wait(tick)
+                asleep_at = clock.now()
+                await self._due.wait(interval_s)
                 now = clock.now()
-                if now - asked >= tick:  # else somebody woke us before the time
-                    self.detector.woke(now - asked - tick, now)
-                # Nothing is decided that cannot be written.  Seen in a measured day: what each
-                # had decided of the others in an outage was written when it was over.
-                may = self._hold.alive() and self._reaches() and not self.leaving
-                own = self.own if may else None
-                acts = self.policy.step(now, self._wall(), own)
-                self._tell_doubts()
-                for act in acts:
-                    if (act.kind, act.name) not in self._under_way:
-                        self._under_way.add((act.kind, act.name))
-                        tasks.start_soon(self._commit, act)
-
-    def _tell_doubts(self) -> None:
-        doubts = frozenset(
+                if now - asleep_at >= interval_s:  # else it was woken before the time
+                    self.detector.record_wakeup(now - asleep_at - interval_s, now)
+                changes = self.policy.decide(now, self._wall(), self._own_if_able())
+                self._announce_unready()
+                for change in changes:
+                    key = change.kind, change.subject
+                    if key not in self._in_progress:
+                        self._in_progress.add(key)
+                        tasks.start_soon(self._commit, change)
+
+    def _own_if_able(self) -> TeamAssignment | None:
+        """This process, if it could write what is decided.
+
+        Nothing is decided that cannot be written.  Seen in a measured day: what each controller had
+        decided of the others in an outage of the state service was written when it was over.
+        """
+        able = self._lease.alive() and self._store_reachable() and not self.leaving
+        return self.own if able else None
+
+    def _announce_unready(self) -> None:
+        unready = frozenset(
             node
-            for node, found in self.policy.findings.items()
-            if found.grade >= HealthLevel.UNABLE
+            for node, assessment in self.policy.assessments.items()
+            if assessment.level >= HealthLevel.UNREADY
         )
-        if doubts != self._doubts:
-            self._doubts = doubts
-            self._doubted(doubts)
-
-    async def _commit(self, act: MembershipChange) -> None:
-        """Write what was decided, unless the records have moved on."""
-        # The answer to a suspicion and a hand-over are what people wait for.
-        teams = len(self.policy.homes) if act.kind in ("enter", "leave", "expel") else 0
-        cost = min(1 + teams, self._limits.txn_ops)
-        change = PendingChange(
-            f"{act.kind} {act.name or self.node}", P_HOLD, cost, self._apply(act)
+        if unready != self._unready:
+            self._unready = unready
+            self._on_unready_changed(unready)
+
+    async def _commit(self, change: MembershipChange) -> None:
+        """Commit what was decided, unless the records refute it."""
+        subject = change.subject or self.node
+        # A refutation and a failover are what people wait for: they go with the lease's priority.
+        pending = PendingChange(
+            f"{change.kind.value} {subject}",
+            P_HOLD,
+            self._cost(change.kind),
+            self._apply(change),
         )
         try:
-            await self._committer.add(change).wait()
+            await self._committer.add(pending).wait()
         except (PreconditionFailedError, LeaseExpiredError) as refusal:
-            log.info("%s: %s", change.name, refusal)
+            log.info("roster: no %s: %s", pending.name, refusal)
         else:
-            self._tell(act)
-            self._moved()
+            _log_committed(change, subject)
+            self._on_teams_moved()
         finally:
-            self._under_way.discard((act.kind, act.name))
-
-    def _tell(self, act: MembershipChange) -> None:
-        if act.kind == "take":
-            log.info("this controller places %s", act.name)
-        elif act.kind == "give":
-            log.info("%s goes home to %s", act.name, act.to)
-        elif act.kind in ("accuse", "expel"):
-            says = "is doubted" if act.kind == "accuse" else "is given up"
-            log.warning("%s %s: %s", act.name, says, act.why)
-        else:
-            log.info("%s in the roster: %s", act.kind, act.name or self.node)
+            self._in_progress.discard((change.kind, change.subject))
 
-    def _apply(self, act: MembershipChange) -> Callable[[Transaction], bool]:
-        """The change of the records that an act is, evaluated on them as they stand then."""
-        own, most, wall = self.own, self._limits.txn_ops, self._wall()
+    def _cost(self, kind: ChangeKind) -> int:
+        """How many puts a change may take at most."""
+        teams = len(self.policy.homes) if kind in _MOVING_ALL_TEAMS else 0
+        return min(1 + teams, self._limits.txn_ops)
+
+    def _apply(self, change: MembershipChange) -> Callable[[Transaction], bool]:
+        """Evaluates a change on the records as they are whenever it is tried."""
+        own, max_operations, wall = self.own, self._limits.txn_ops, self._wall()
         assert own is not None
 
         def apply(transaction: Transaction) -> bool:
-            return roster.write(
-                transaction, self.policy.move(act, transaction.cache, own, wall), most
-            )
+            transition = self.policy.transition(change, transaction.cache, own, wall)
+            return roster_transitions.write(transaction, transition, max_operations)
 
         return apply
+
+
+def _log_committed(change: MembershipChange, subject: str) -> None:
+    match change.kind:
+        case ChangeKind.CLAIM:
+            log.info("team %s is assigned to this controller", subject)
+        case ChangeKind.RETURN:
+            log.info("team %s returns to its home, controller %s", subject, change.assignee)
+        case ChangeKind.SUSPECT:
+            log.warning("controller %s is suspected: %s", subject, change.evidence)
+        case ChangeKind.EVICT:
+            log.warning("controller %s is evicted: %s", subject, change.evidence)
+        case _:
+            log.info("controller %s in the roster: %s", subject, change.kind.value)
--- a/src/sandladder/peers/peer_service.py
+++ b/src/sandladder/peers/peer_service.py
@@ -1,234 +1,184 @@
-"""The other controllers: who lives, who places which team, and requests passed on."""
-
-import logging
-from typing import TYPE_CHECKING
-
-import anyio
-
-from sandladder import clock
-from sandladder.membership import PeerStatus, may_place
-from sandladder.model import SCHEMA_V1, SCHEMA_V2, Attempt, ClockReading, EndedAttempt
-from sandladder.protocol import wire
-from sandladder.transport import Request, Response, peer_transport
-
-if TYPE_CHECKING:
-    from sandladder.controller import Controller
-
-log = logging.getLogger(__name__)
-
-
-# Cancelled jobs that one beat names at the most, the latest; few are ever live.
-_NAMED = 256
-
-# How many bits of a request's number count the requests; the rest tell the process.
-_ASKS_BITS = 20
-
-# What is answered when a request cannot be taken: come back soon.
-BUSY = Response(503, wire.error_body("cannot be taken now"), 1)
-
-
-class PendingResponse:
-    """A request that a peer was asked to serve."""
-
-    def __init__(self) -> None:
-        self.arrived = anyio.Event()
-        self.answer: Response | None = None
+"""What passes between this controller and the others, by kind of message."""
+
+from collections.abc import Awaitable, Callable, Sequence
+from dataclasses import dataclass
+from random import Random
+
+from sandladder.concurrency import BackgroundTasks
+from sandladder.config import Peer
+from sandladder.membership import MembershipService
+from sandladder.model import SCHEMA_V1, Attempt, EndedAttempt
+from sandladder.peers.heartbeats import HeartbeatExchange
+from sandladder.peers.request_forwarder import RequestForwarder
+from sandladder.peers.team_directory import TeamDirectory
+from sandladder.state import StateCache, StoreWatch
+from sandladder.transport import (
+    ChangeNotice,
+    EndedTasks,
+    ForwardedRequest,
+    ForwardedResponse,
+    MachineUpdate,
+    PeerConnection,
+    PeerHeartbeat,
+    Request,
+    Response,
+)
+from sandladder.transport.peer_messages import Message
+
+
+@dataclass(frozen=True)
+class PeerEvents:
+    """What the services above this package do with the peers' messages."""
+
+    on_machine_update: Callable[[MachineUpdate], None]
+    on_ended_attempt: Callable[[EndedAttempt], None]
+    # Serves a forwarded request; never raises, and never forwards it again.
+    serve_request: Callable[[Request], Awaitable[Response]]
 
 
 class PeerService:
-    """What passes between this controller and the others."""
-
-    def __init__(self, controller: "Controller") -> None:
-        self._c = controller
+    """The connections to the other controllers, and what is sent and received on them."""
+
+    def __init__(
+        self,
+        *,
+        node: str,
+        process: int,
+        peers: Sequence[Peer],
+        heartbeat_interval_s: float,
+        response_timeout_s: float,
+        rng: Random,
+        cache: StateCache,
+        watch: StoreWatch,
+        membership: MembershipService,
+        teams: TeamDirectory,
+        heartbeats: HeartbeatExchange,
+        background: BackgroundTasks,
+        events: PeerEvents,
+    ) -> None:
+        """Prepare a connection to each peer; whoever listens runs them and calls `handle`.
+
+        Args:
+            node: the controller of this process.
+            process: tells the controller's processes apart.
+            peers: the other controllers.
+            heartbeat_interval_s: between two heartbeats at the most, in seconds.
+            response_timeout_s: how long to wait for a peer that serves a request, in seconds.
+            rng: chooses among the peers that can serve.
+            cache: the records as this process knows them.
+            watch: woken when a peer has committed something.
+            membership: knows which peers can serve.
+            teams: knows the teams' assignees.
+            heartbeats: makes and takes in heartbeats.
+            background: serves forwarded requests.
+            events: what the services above do with messages.
+        """
+        self._rng = rng
+        self._cache = cache
+        self._watch = watch
+        self._membership = membership
+        self._teams = teams
+        self._heartbeats = heartbeats
+        self._events = events
         self.connections = {
-            peer.node_name: peer_transport.PeerConnection(
-                peer, controller.heartbeat_interval_s, self.connection_changed
-            )
-            for peer in controller.settings.platform.peers
+            peer.node_name: PeerConnection(peer, heartbeat_interval_s, self.connection_changed)
+            for peer in peers
         }
-        # Numbers that no former process of this controller gave: a peer may answer what that one
-        # asked when we stand in its place.  Seen in the stand-in world: a user was told of one
-        # job what another had come to.
-        self._asks = controller.process << _ASKS_BITS
-        self._asked: dict[int, PendingResponse] = {}
+        self.forwarder = RequestForwarder(
+            node=node,
+            process=process,
+            timeout_s=response_timeout_s,
+            background=background,
+            send=self._send,
+            serve=events.serve_request,
+        )
 
-    def connection_changed(self, node: str, refused: bool) -> None:
-        """A link broke or was made: the others should hear of it at once."""
-        self._c.membership.link(node, refused)
-        if refused:
-            for name, link in self.connections.items():
-                if name != node:
-                    link.flush()
+    # Who is responsible, and who can serve
 
     def live_nodes(self) -> list[str]:
-        """The controllers that take part: by the roster, the same for all.
-
-        In the plain form there is none; a disagreement there costs only a retry.
-        """
-        agreed = self._c.membership.members()
-        if agreed:
-            return agreed
-        able = {n for n, found in self._c.membership.policy.findings.items() if found.able}
-        return [name for name in self._c.nodes if name == self._c.node or name in able]
+        """The controllers that take part."""
+        return self._teams.live_nodes()
 
     def places(self, team: str) -> bool:
-        """Whether starts of this team are this controller's to commit now."""
-        if self._c.cache.schema_version == SCHEMA_V1:
-            return self._ring_owner(team) == self._c.node
-        return may_place(self._c.cache, team, self._c.membership.own)
+        """Whether starts of this team are this process's to commit now."""
+        return self._teams.is_assigned(team)
 
     def assignee(self, team: str) -> str:
-        """The controller that should hear of what concerns a team."""
-        if self._c.cache.schema_version != SCHEMA_V1 and (
-            found := self._c.membership.assignee(team)
-        ):
-            return found
-        return self._ring_owner(team)
-
-    def _ring_owner(self, team: str) -> str:
-        """The controller whose turn this team is round the ring of those that live."""
-        names = [t.name for t in self._c.settings.platform.deployment.teams]
-        first = names.index(team) if team in names else 0
-        live = set(self.live_nodes())
-        for step in range(len(self._c.nodes)):
-            name = self._c.nodes[(first + step) % len(self._c.nodes)]
-            if name in live:
-                return name
-        return self._c.node
+        """The controller that should learn of what concerns a team."""
+        return self._teams.assignee(team)
 
     def older(self) -> set[str]:
-        """The controllers that beat and know only the plain form."""
-        now = clock.now()
-        return {
-            name
-            for name, link in self.connections.items()
-            if link.schema_version == SCHEMA_V1
-            and now - link.heard_at < 3 * self._c.heartbeat_interval_s
-        }
+        """The controllers that send heartbeats and understand only the first schema."""
+        return self._heartbeats.outdated_peers()
 
-    def heartbeat(self) -> peer_transport.PeerHeartbeat | None:
-        """The sign of life; none while another process is the controller of this name."""
-        if self._c.controller_lease.superseded:
-            return None
-        self._share_writes()
-        membership, now = self._c.membership, clock.now()
-        return peer_transport.PeerHeartbeat(
-            self._c.node,
-            self._c.controller_lease.alive() and self._c.store_reachable(),
-            self._c.committer.demand,
-            SCHEMA_V2,
-            term=membership.own.term if membership.own else 0,
-            token=self._c.reconciler.term,
-            late_s=round(membership.detector.late_s, 3),
-            # One that no machine reaches is sent none.
-            machines=None if self._c.agent_service.deaf(now) else self._c.agent_service.count,
-            leaving=membership.leaving,
-            heard=membership.detector.silences(now),
-            process=self._c.process,
-            stamp=now,
-            echoes=self._c.renewal_guard.echoes,
-            cancelled=list(self._c.cache.cancelled)[-_NAMED:],
-            whole=len(self._c.cache.cancelled) <= _NAMED,
-        )
+    def abler(self, schema_version: int = SCHEMA_V1) -> str | None:
+        """A peer that reaches the state service and understands this schema, if there is any."""
+        serving = [
+            node
+            for node in self._membership.serving_peers()
+            if self._heartbeats.understands(node, schema_version)
+        ]
+        return self._rng.choice(serving) if serving else None
+
+    # What is sent
+
+    def heartbeat(self) -> PeerHeartbeat | None:
+        """The heartbeat to send now; None while this process is fenced."""
+        return self._heartbeats.make()
 
     def announce_cancellations(self) -> None:
-        """A job was cancelled here: the others hear of it before its user does.
+        """A job was cancelled here: the other controllers are informed before its user is.
 
-        Whoever commands its tasks may be refused by the state service, and stops them on our word.
+        Whoever commands its tasks may be refused by the state service, and stops them all the same.
         """
-        for link in self.connections.values():
-            link.flush()
-
-    def _share_writes(self) -> None:
-        """Divide the store's write rate by what each controller has waiting."""
-        now = clock.now()
-        least = self._c.limits.txn_ops / 4
-        own = least + self._c.committer.demand
-        whole = own
-        for name, link in self.connections.items():
-            if now - link.heard_at < 3 * self._c.heartbeat_interval_s:
-                whole += least + link.demand
-            elif name in self._c.cache.nodes:
-                whole += own  # it lives and we do not hear it: it may need as much as we do
-        self._c.store.writes.share = own / whole
+        for connection in self.connections.values():
+            connection.flush()
 
     def notify(self, nodes: set[str]) -> None:
-        for name, link in self.connections.items():
-            if name in nodes:
-                link.send(peer_transport.ChangeNotice(self._c.cache.revision))
-
-    def handle(self, message: peer_transport.Message) -> None:
-        if isinstance(message, peer_transport.PeerHeartbeat):
-            link = self.connections.get(message.node)
-            if link is not None:
-                now = link.heard_at = clock.now()
-                link.demand, link.schema_version = message.demand, message.schema_version
-                stamp = ClockReading(message.process, message.stamp)
-                self._c.renewal_guard.heard(message.node, stamp, message.echoes, message.whole, now)
-                self._c.agent_service.stop_cancelled(message.cancelled)
-                word = PeerStatus(
-                    term=message.term,
-                    token=message.token,
-                    store_reachable=message.store_reachable,
-                    late_s=message.late_s,
-                    machines=message.machines,
-                    leaving=message.leaving,
-                    heard=message.heard,
-                )
-                self._c.membership.hear(message.node, word)
-        elif isinstance(message, peer_transport.ChangeNotice):
-            self._c.watch.wake()
-        elif isinstance(message, peer_transport.ForwardedRequest):
-            if message.node in self.connections and self._c.tasks is not None:
-                self._c.tasks.start_soon(self._answer, message)
-        elif isinstance(message, peer_transport.ForwardedResponse):
-            asked = self._asked.pop(message.number, None)
-            if asked is not None:
-                asked.answer = Response(message.status, message.body, message.retry_after)
-                asked.arrived.set()
-        elif isinstance(message, peer_transport.MachineUpdate):
-            self._c.cluster_view.now = clock.now()
-            self._c.cluster_view.tell(message.node, message.machine, message.seen)
-            self._c.plan_due.set()
-        else:
-            for item in message.ends:
-                attempt = Attempt(item.machine, item.zone, item.session, item.attempt)
-                ended = EndedAttempt(item.job, item.task, attempt, item.outcome)
-                self._c.job_committer.told(ended)
-
-    async def _answer(self, ask: peer_transport.ForwardedRequest) -> None:
-        """Serve a user's request that came to a peer; it is not passed on again."""
-        answer = await self._c.job_api.guarded(
-            lambda: self._c.job_api.route(Request(ask.method, ask.path, ask.body)), ask.path
-        )
-        self.connections[ask.node].send(
-            peer_transport.ForwardedResponse(
-                ask.number, answer.status, answer.body, answer.retry_after
-            )
-        )
+        """Have those of these controllers that are peers read the changes now."""
+        for node, connection in self.connections.items():
+            if node in nodes:
+                connection.send(ChangeNotice(self._cache.revision))
 
     async def relay(self, request: Request, peer: str) -> Response:
-        """Have a peer that reaches the state service serve a user's request."""
-        self._asks += 1
-        number = self._asks
-        asked = self._asked[number] = PendingResponse()
-        self.connections[peer].send(
-            peer_transport.ForwardedRequest(
-                self._c.node, number, request.method, request.path, request.body
-            )
-        )
-        try:
-            with anyio.move_on_after(self._c.report_s / 2):
-                await asked.arrived.wait()
-        finally:
-            self._asked.pop(number, None)
-        return asked.answer or BUSY
+        """Have a peer serve a user's request, and wait for its response.
 
-    def abler(self, schema_version: int = SCHEMA_V1) -> str | None:
-        """A peer that says it reaches the state service and knows this form, if any does."""
-        able = [
-            name
-            for name in self._c.membership.able()
-            if name in self.connections and self.connections[name].schema_version >= schema_version
-        ]
-        return self._c.rng.choice(able) if able else None
+        `BUSY` if none has come in time.  Then, or cancelled, the peer may have served the request
+        all the same.
+        """
+        return await self.forwarder.forward(request, peer)
+
+    def _send(self, node: str, message: ForwardedRequest | ForwardedResponse) -> None:
+        self.connections[node].send(message)
+
+    # What happens
+
+    def connection_changed(self, node: str, refused: bool) -> None:
+        """The connection to a peer was made, or could not be; a refusal is announced at once."""
+        self._membership.connection_changed(node, refused)
+        if refused:
+            for name, connection in self.connections.items():
+                if name != node:
+                    connection.flush()
+
+    def handle(self, message: Message) -> None:
+        """Take in a peer's message; a forwarded request is served in the background."""
+        match message:
+            case PeerHeartbeat():
+                self._heartbeats.receive(message)
+            case ChangeNotice():
+                self._watch.wake()
+            case ForwardedRequest():
+                if message.node in self.connections:
+                    self.forwarder.receive_request(message)
+            case ForwardedResponse():
+                self.forwarder.receive_response(message)
+            case MachineUpdate():
+                self._events.on_machine_update(message)
+            case EndedTasks():
+                self._receive_ends(message)
+
+    def _receive_ends(self, message: EndedTasks) -> None:
+        for end in message.ends:
+            attempt = Attempt(end.machine, end.zone, end.session, end.attempt)
+            self._events.on_ended_attempt(EndedAttempt(end.job, end.task, attempt, end.outcome))
--- /dev/null
+++ b/src/sandladder/peers/team_directory.py
@@ -0,0 +1,71 @@
+"""Which controller schedules a team: by the roster, or under the first schema by a ring."""
+
+from collections.abc import Sequence
+
+from sandladder.membership import MembershipService, may_place
+from sandladder.model import SCHEMA_V1
+from sandladder.state import StateCache
+
+
+class TeamDirectory:
+    """Names the controller that is responsible for a team."""
+
+    def __init__(
+        self,
+        node: str,
+        nodes: Sequence[str],
+        teams: Sequence[str],
+        cache: StateCache,
+        membership: MembershipService,
+    ) -> None:
+        """Answer for one controller.
+
+        Args:
+            node: the controller of this process.
+            nodes: all controllers of the settings, in order.
+            teams: all teams of the settings, in order.
+            cache: the records as this process knows them.
+            membership: knows the members and their health.
+        """
+        self._node = node
+        self._nodes = nodes
+        self._teams = teams
+        self._cache = cache
+        self._membership = membership
+
+    def live_nodes(self) -> list[str]:
+        """The controllers that take part: by the roster, the same for all.
+
+        Under the first schema there is none; each controller goes by its own assessments then, and
+        a disagreement costs only a retry.
+        """
+        members = self._membership.members()
+        if members:
+            return members
+        assessments = self._membership.policy.assessments.items()
+        serving = {node for node, assessment in assessments if assessment.can_serve}
+        return [node for node in self._nodes if node == self._node or node in serving]
+
+    def is_assigned(self, team: str) -> bool:
+        """Whether starts of this team are this process's to commit now."""
+        if self._cache.schema_version == SCHEMA_V1:
+            return self._ring_assignee(team) == self._node
+        return may_place(self._cache, team, self._membership.own)
+
+    def assignee(self, team: str) -> str:
+        """The controller that should learn of what concerns a team."""
+        if self._cache.schema_version != SCHEMA_V1:
+            assignee = self._membership.assignee(team)
+            if assignee:
+                return assignee
+        return self._ring_assignee(team)
+
+    def _ring_assignee(self, team: str) -> str:
+        """The first live controller on the ring, beginning at the team's position."""
+        first = self._teams.index(team) if team in self._teams else 0
+        live = set(self.live_nodes())
+        for step in range(len(self._nodes)):
+            node = self._nodes[(first + step) % len(self._nodes)]
+            if node in live:
+                return node
+        return self._node
--- a/src/sandladder/transport/peer_transport.py
+++ b/src/sandladder/transport/peer_transport.py
@@ -1,7 +1,7 @@
-"""What passes between controllers: msgspec messages in length-prefixed frames over TCP.
+"""Connections between controllers over TCP.
 
-Everything said here is a hint that makes things quick.  What must not be missed goes
-through the state service.
+Each controller connects to every other one and only sends on that connection; what others send
+arrives on the connections that they made.  Bytes in and out, no decisions.
 """
 
 import contextlib
@@ -16,159 +16,120 @@
 from sandladder import clock
 from sandladder.concurrency import Signal
 from sandladder.config import Peer, split_addr
-from sandladder.model import SCHEMA_V1, ClockReading, MachineStatus
+from sandladder.transport.peer_messages import (
+    MAX_FRAME_BYTES,
+    ChangeNotice,
+    EndedTask,
+    EndedTasks,
+    ForwardedRequest,
+    ForwardedResponse,
+    FrameTooLargeError,
+    LinkObservation,
+    MachineUpdate,
+    Message,
+    PeerHeartbeat,
+    decode_body,
+    encode_frame,
+    take_frame,
+)
+
+__all__ = [
+    "ChangeNotice",
+    "EndedTask",
+    "EndedTasks",
+    "ForwardedRequest",
+    "ForwardedResponse",
+    "LinkObservation",
+    "MachineUpdate",
+    "Message",
+    "PeerConnection",
+    "PeerHeartbeat",
+    "serve",
+]
 
 log = logging.getLogger(__name__)
 
-_FRAME_LIMIT = 256 * 1024
+# Messages that wait for a connection at the most; the oldest are dropped.
 _QUEUE_LIMIT = 256
+# Connecting and sending are given up after so many heartbeat intervals.
+_TIMEOUT_INTERVALS = 4
+# What is sent within this part of a heartbeat interval goes out together.
+_BATCHES_PER_INTERVAL = 12
 
-
-class PeerHeartbeat(msgspec.Struct, tag="beat", array_like=True):
-    """A sign of life; `store_reachable` says that the sender reaches the state service.
-
-    `demand` is how many changes it has waiting for the store, `form` the newest form of
-    records that it understands.  The version before sends three fields and ignores more.  From
-    `term` on they are what `membership` goes by: the term with which the sender's process
-    entered and its term now, how late its timers are, how many machines report to it, whether it
-    is about to go, and by peer for how long it has not heard it and whether that refuses it.
-
-    From `process` on they are what `fence` goes by: the process, a moment on its steady clock, the
-    latest such moment that it heard of each peer, the cancelled jobs that it knows, which are
-    committed, and whether these are all.
-    """
-
-    node: str
-    store_reachable: bool
-    demand: int = 0
-    schema_version: int = SCHEMA_V1
-    term: int = 0
-    token: int = 0
-    late_s: float = 0.0
-    machines: int | None = None
-    leaving: bool = False
-    heard: dict[str, tuple[float, bool]] = {}
-    process: int = 0
-    stamp: float = 0.0
-    echoes: dict[str, ClockReading] = {}
-    cancelled: list[str] = []
-    whole: bool = False
-
-
-class ChangeNotice(msgspec.Struct, tag="poke", array_like=True):
-    """Something that concerns the receiver was committed: read the changes now."""
-
-    revision: int
-
-
-class EndedTask(msgspec.Struct, array_like=True):
-    """An end that a worker's report proves."""
-
-    job: str
-    task: int
-    machine: str
-    zone: str
-    session: int
-    attempt: int
-    outcome: str
-
-
-class MachineUpdate(msgspec.Struct, tag="sighting", array_like=True):
-    """A machine came, changed or is about to go, as its controller hears it."""
-
-    node: str
-    machine: str
-    seen: MachineStatus
-
-
-class EndedTasks(msgspec.Struct, tag="ends", array_like=True):
-    """Proved ends: room for all, and for whoever places the jobs' team to commit."""
-
-    ends: list[EndedTask]
-
-
-class ForwardedRequest(msgspec.Struct, tag="ask", array_like=True):
-    """A user's request that the asker cannot serve, for one who can."""
-
-    node: str
-    number: int
-    method: str
-    path: str
-    body: bytes
-
-
-class ForwardedResponse(msgspec.Struct, tag="answer", array_like=True):
-    """What the receiver's user is to be told."""
-
-    number: int
-    status: int
-    body: bytes
-    retry_after: int | None
-
-
-# How a connection may end that we sent on.
+# How a connection may end that was sent on.
 _BROKEN = (OSError, TimeoutError, anyio.BrokenResourceError, anyio.ClosedResourceError)
 
-Message = (
-    PeerHeartbeat | ChangeNotice | MachineUpdate | EndedTasks | ForwardedRequest | ForwardedResponse
-)
-_encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder(Message)
+# Builds the heartbeat to send now; None: none is to be sent.
+HeartbeatSource = Callable[[], PeerHeartbeat | None]
 
 
 class PeerConnection:
-    """Our side of the way to one peer: a bounded queue that one routine sends."""
+    """The connection to one peer: a bounded queue of messages, with heartbeats in between."""
 
     def __init__(
-        self, peer: Peer, heartbeat_interval_s: float, told: Callable[[str, bool], None]
+        self,
+        peer: Peer,
+        heartbeat_interval_s: float,
+        on_connection_change: Callable[[str, bool], None],
     ) -> None:
-        """`told` hears that the link broke or was made, and whether connections are refused."""
+        """Prepare the connection; `run` makes it.
+
+        Args:
+            peer: whom to connect to.
+            heartbeat_interval_s: between two heartbeats at the most, in seconds.
+            on_connection_change: called with the peer's name and whether the connection was
+                refused, whenever one was made or could not be made.
+        """
         self.peer = peer
-        self._beat_s = heartbeat_interval_s
-        self._told = told
+        self._heartbeat_interval_s = heartbeat_interval_s
+        self._timeout_s = _TIMEOUT_INTERVALS * heartbeat_interval_s
+        self._on_connection_change = on_connection_change
         self._queue: deque[Message] = deque(maxlen=_QUEUE_LIMIT)
         self._work = Signal()
-        self.heard_at = float("-inf")
-        self.demand = 0
-        self.schema_version = SCHEMA_V1
 
     def send(self, message: Message) -> None:
-        """Queue a hint; when the queue is full the oldest is dropped."""
+        """Queue a message; when the queue is full the oldest is dropped."""
         self._queue.append(message)
         self._work.set()
 
     def flush(self) -> None:
-        """Send a beat now: there is something new in it."""
+        """Send what is queued, and a heartbeat, now: there is something new in it."""
         self._work.set()
 
-    async def run(self, heartbeat: Callable[[], PeerHeartbeat | None]) -> None:
-        """Keep a connection and send what is queued, with beats in between."""
-        host, port = split_addr(self.peer.addr)
+    async def run(self, heartbeat: HeartbeatSource) -> None:
+        """Keep a connection and send on it until cancelled; the connection is closed then.
+
+        While the peer cannot be reached, what is queued is dropped.
+        """
         while True:
-            try:
-                with anyio.fail_after(4 * self._beat_s):
-                    stream = await anyio.connect_tcp(host, port)
-            except (OSError, TimeoutError) as error:
-                refused = isinstance(error.__cause__ or error, ConnectionRefusedError)
-                self._told(self.peer.node_name, refused)
+            stream = await self._connect()
+            if stream is None:
                 self._queue.clear()
-                await anyio.sleep(self._beat_s)
+                await anyio.sleep(self._heartbeat_interval_s)
                 continue
-            self._told(self.peer.node_name, False)
-            try:
+            self._on_connection_change(self.peer.node_name, False)
+            with contextlib.suppress(*_BROKEN):
                 async with stream:
-                    await self._until_broken(stream, heartbeat)
-            except _BROKEN:
-                pass
-            log.info("the link to %s broke", self.peer.node_name)
-
-    async def _until_broken(
-        self, stream: SocketStream, heartbeat: Callable[[], PeerHeartbeat | None]
-    ) -> None:
-        """Send until the peer closes.
+                    await self._send_until_closed(stream, heartbeat)
+            log.info("the connection to %s broke", self.peer.node_name)
 
-        It never answers here, but its end is only seen by reading.  Seen in a measured day: a
-        controller that had stood still wrote for minutes to peers that had closed meanwhile.
+    async def _connect(self) -> SocketStream | None:
+        """Connect; None if that failed, which is announced."""
+        host, port = split_addr(self.peer.addr)
+        try:
+            with anyio.fail_after(self._timeout_s):
+                return await anyio.connect_tcp(host, port)
+        except (OSError, TimeoutError) as error:
+            refused = isinstance(error.__cause__ or error, ConnectionRefusedError)
+            self._on_connection_change(self.peer.node_name, refused)
+            return None
+
+    async def _send_until_closed(self, stream: SocketStream, heartbeat: HeartbeatSource) -> None:
+        """Send until the peer closes the connection or sending fails.
+
+        The peer never sends here, but the connection's end is only seen by reading.  Seen in a
+        measured day: a controller that had been paused wrote for minutes to peers that had closed
+        the connection meanwhile.
         """
         async with anyio.create_task_group() as tasks:
 
@@ -182,86 +143,72 @@
                 await stream.receive(1)
             tasks.cancel_scope.cancel()
 
-    async def _send_all(
-        self, stream: SocketStream, heartbeat: Callable[[], PeerHeartbeat | None]
-    ) -> None:
+    async def _send_all(self, stream: SocketStream, heartbeat: HeartbeatSource) -> None:
         while True:
-            sign = heartbeat()
-            messages = [*self._queue, *([sign] if sign else [])]
+            latest = heartbeat()
+            messages = [*self._queue, *([latest] if latest else [])]
             self._queue.clear()
-            data = b"".join(_frame(message) for message in messages)
-            with anyio.fail_after(4 * self._beat_s):
+            data = b"".join(encode_frame(message) for message in messages)
+            with anyio.fail_after(self._timeout_s):
                 await stream.send(data)
-            # What is said within a moment goes together, with one sign of life.
-            await anyio.sleep(self._beat_s / 12)
-            await self._work.wait(self._beat_s)
+            # What is queued within a moment goes together, with one heartbeat.
+            await anyio.sleep(self._heartbeat_interval_s / _BATCHES_PER_INTERVAL)
+            await self._work.wait(self._heartbeat_interval_s)
 
 
-def _frame(message: Message) -> bytes:
-    body = _encoder.encode(message)
-    return len(body).to_bytes(4, "big") + body
-
+async def serve(
+    addr: str,
+    max_connections: int,
+    idle_timeout_s: float,
+    receive: Callable[[Message], None],
+) -> None:
+    """Receive the peers' messages until cancelled; all connections are closed then.
 
-async def serve(addr: str, most: int, silent_s: float, receive: Callable[[Message], None]) -> None:
-    """Take in the peers' messages until cancelled."""
+    Args:
+        addr: host and port to listen at.
+        max_connections: those past this number are closed at once.
+        idle_timeout_s: a connection without a message for so many seconds is closed.
+        receive: called with each message, in the order of arrival on its connection.
+    """
     host, port = split_addr(addr)
-    count = 0
+    connections = 0
 
-    async def connection(stream: SocketStream) -> None:
-        nonlocal count
-        count += 1
+    async def serve_connection(stream: SocketStream) -> None:
+        nonlocal connections
+        connections += 1
         try:
-            if count <= most:
-                await _receive_all(stream, silent_s, receive)
-        except (
-            OSError,
-            TimeoutError,
-            anyio.EndOfStream,
-            anyio.BrokenResourceError,
-            anyio.ClosedResourceError,
-        ):
+            if connections <= max_connections:
+                await _receive_all(stream, idle_timeout_s, receive)
+        except (anyio.EndOfStream, *_BROKEN):
             pass
-        except ValueError as error:
-            log.warning("a peer sent what cannot be read: %s", error)
+        except (ValueError, FrameTooLargeError) as error:
+            log.warning("closing the connection of a peer: %s", error)
         finally:
-            count -= 1
+            connections -= 1
             with anyio.CancelScope(shield=True):
                 await anyio.aclose_forcefully(stream)
 
     listener = await anyio.create_tcp_listener(local_host=host, local_port=port)
     async with listener:
-        await listener.serve(connection)
+        await listener.serve(serve_connection)
 
 
 async def _receive_all(
-    stream: SocketStream, silent_s: float, receive: Callable[[Message], None]
+    stream: SocketStream, idle_timeout_s: float, receive: Callable[[Message], None]
 ) -> None:
     buffer = bytearray()
-    heard = clock.now()
+    received_at = clock.now()
     while True:
-        with anyio.fail_after(silent_s - (clock.now() - heard)):
-            buffer += await stream.receive(_FRAME_LIMIT)
-        # What came together is taken in at one go: each wait costs more than a message.
-        while (body := _cut_frame(buffer)) is not None:
-            heard = clock.now()
+        with anyio.fail_after(idle_timeout_s - (clock.now() - received_at)):
+            buffer += await stream.receive(MAX_FRAME_BYTES)
+        # What came together is taken in without waiting in between: each wait costs more than a
+        # message.
+        while (body := take_frame(buffer)) is not None:
+            received_at = clock.now()
             try:
-                message = _decoder.decode(body)
+                message = decode_body(body)
             except msgspec.DecodeError as error:
-                # A later version may say things that we do not know; its other words count.
-                log.warning("a peer sent what cannot be read: %s", error)
+                # A later version may send messages that this one does not know; others count.
+                log.warning("ignoring a peer's message that cannot be read: %s", error)
                 continue
             receive(message)
-
-
-def _cut_frame(buffer: bytearray) -> bytes | None:
-    """Take the first whole frame's body out of what was received, if there is one."""
-    if len(buffer) < 4:
-        return None
-    size = int.from_bytes(buffer[:4], "big")
-    if not 0 < size <= _FRAME_LIMIT:
-        raise ValueError(f"a frame of {size} bytes")
-    if len(buffer) < 4 + size:
-        return None
-    body = bytes(buffer[4 : 4 + size])
-    del buffer[: 4 + size]
-    return body
--- a/tests/test_samples.py
+++ b/tests/test_samples.py
@@ -39,7 +39,7 @@
     read_team,
     unpack_inventory,
 )
-from sandladder.transport import peer_transport
+from sandladder.transport import peer_messages
 
 KEPT: dict[str, Any] = json.loads(samples.FILE.read_text("utf-8"))
 RECORDS, MESSAGES = KEPT["records"], KEPT["messages"]
@@ -112,12 +112,12 @@
 
 def test_messages_are_read_and_said_again_as_production_said_them() -> None:
     for name, text in MESSAGES.items():
-        message = peer_transport._decoder.decode(bytes.fromhex(text))
-        again = peer_transport._encoder.encode(message).hex()
+        message = peer_messages._decoder.decode(bytes.fromhex(text))
+        again = peer_messages._encoder.encode(message).hex()
         if name == "beat":
             # More elements, at the end, which production ignores.
             assert (
-                isinstance(message, peer_transport.PeerHeartbeat)
+                isinstance(message, peer_messages.PeerHeartbeat)
                 and message.schema_version == SCHEMA_V1
             )
             before = msgspec.msgpack.decode(bytes.fromhex(text))
@@ -125,8 +125,8 @@
             assert now[: len(before)] == before and now[len(before)] == SCHEMA_V1
         else:
             assert again == text
-    seen = peer_transport._decoder.decode(bytes.fromhex(MESSAGES["sighting"]))
-    assert isinstance(seen, peer_transport.MachineUpdate) and len(seen.seen) == len(
+    seen = peer_messages._decoder.decode(bytes.fromhex(MESSAGES["sighting"]))
+    assert isinstance(seen, peer_messages.MachineUpdate) and len(seen.seen) == len(
         MachineStatus._fields
     )
     assert MachineInventory._fields[:4] == ("term", "up_s", "revision", "machines")
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -12,7 +12,7 @@
 from answers import REQUIRED
 from days import pipeline, warm
 from meeting import CANCEL_S, Meeting, day, leader, play, restart, running, settle, until
-from sandladder.transport import peer_transport
+from sandladder.transport import peer_messages
 from world import World, job, now
 
 
@@ -290,15 +290,15 @@
     asked: list[str] = []  # to whom node-0 passed requests on
 
     def frames(source: str, target: str, message: Any) -> None:
-        if source == "node-0" and isinstance(message, peer_transport.ForwardedRequest):
+        if source == "node-0" and isinstance(message, peer_messages.ForwardedRequest):
             asked.append(target)
         if (
             target == "node-0"
-            and isinstance(message, peer_transport.ForwardedResponse)
+            and isinstance(message, peer_messages.ForwardedResponse)
             and len(asked) > 1
         ):
             # Both are under way: the first one's answer comes while the second waits.
-            world.met["an answer came late"] += bool(world.nodes["node-0"].peers._asked)
+            world.met["an answer came late"] += bool(world.nodes["node-0"].peers.forwarder.pending)
 
     async def main() -> None:
         await warm(world)
--- a/tests/world.py
+++ b/tests/world.py
@@ -26,7 +26,7 @@
 from sandladder.config import Settings
 from sandladder.config import settings as settings_module
 from sandladder.controller import controller as controller_module
-from sandladder.transport import HttpError, Request, Response, http, peer_transport
+from sandladder.transport import HttpError, Request, Response, http, peer_messages
 
 ZONES = ["north", "south"]
 TYPES = {
@@ -43,7 +43,7 @@
 REPORT_S = 2.0
 CANCEL_S = 36.0  # what a cancellation has, unless the world is told otherwise
 TODAY = production.Version(
-    control=controller_module, http=http, mesh=peer_transport, settings=settings_module
+    control=controller_module, http=http, mesh=peer_messages, settings=settings_module
 )
 # What the state service takes some time after an upgrade.
 NEXT = {"write_rps": 20.0, "value_kb": 2.0, "txn_ops": 4}
--- a/tools/capacity/measure.py
+++ b/tools/capacity/measure.py
@@ -28,7 +28,7 @@
 )
 from sandladder.protocol import wire
 from sandladder.state import JOB, StateCache, Transaction, fold_inventory, instances_value
-from sandladder.transport import Response, peer_transport
+from sandladder.transport import Response, peer_messages
 from sandladder.transport.http import _encode_answer
 
 # The step that processor time is given in: a hash over so many bytes.
@@ -88,10 +88,10 @@
     peers = [f"node-{n}" for n in range(controllers - 1)]
     heard = dict.fromkeys(peers, (0.123, False))
     echoes = {name: ClockReading(1 << 39, 12345.678) for name in peers}
-    found = peer_transport.PeerHeartbeat(
+    found = peer_messages.PeerHeartbeat(
         "node-8", True, 10, 2, 9, 9, 0.01, 144, False, heard, 1 << 39, 12345.678, echoes, [], True
     )
-    return peer_transport._frame(found)
+    return peer_messages.encode_frame(found)
 
 
 def inventory(machines: int) -> MachineInventory:
@@ -115,11 +115,14 @@
         yield row("report", "tasks on the worker", tasks, len(report_body(tasks)))
         yield row("commands", "starts", tasks, len(commands(tasks)))
         ends = [
-            peer_transport.EndedTask(f"job-{n:06d}", n, scenes.machine_name(n), "a1", 1, 1, "done")
+            peer_messages.EndedTask(f"job-{n:06d}", n, scenes.machine_name(n), "a1", 1, 1, "done")
             for n in range(tasks)
         ]
         yield row(
-            "ends told", "ends", tasks, len(peer_transport._frame(peer_transport.EndedTasks(ends)))
+            "ends told",
+            "ends",
+            tasks,
+            len(peer_messages.encode_frame(peer_messages.EndedTasks(ends))),
         )
     for size in (0, 400, 800, 1600, 3200):
         around = len(request_bytes(bytes(size))) - size
