--- /dev/null
+++ b/tests/membership/cluster.py
@@ -0,0 +1,282 @@
+"""Controllers reduced to membership, with a store and heartbeats, in virtual time: quick to run.
+
+Failure detectors, policies, transitions, transactions and caches are the real ones; leases, watches
+and connections are simulated.  Faults are set between two steps.
+"""
+
+from collections.abc import Callable
+from random import Random
+from typing import Any
+
+from sandladder.membership import (
+    FailureDetector,
+    MembershipChange,
+    MembershipPolicy,
+    PeerStatus,
+    roster_transitions,
+)
+from sandladder.model import SCHEMA_V2, MachineInventory, Member, TeamAssignment
+from sandladder.state import (
+    NODE,
+    SCHEMA_VERSION_KEY,
+    TEAM,
+    TERM,
+    PreconditionFailedError,
+    StateCache,
+    Transaction,
+    inventory_changes,
+    put_inventory,
+    read_team,
+    schema_version_value,
+)
+
+# In seconds: between an agent's heartbeats, between a controller's, a controller's lease, a step of
+# virtual time, and how long a controller takes to restart.
+REPORT_S, HEARTBEAT_S, LEASE_S, STEP_S, RESTART_S = 2.4, 0.4, 24.0, 0.1, 3.0
+# How often a controller reads the store, in seconds.
+READ_S = 0.15
+VALUE_BYTES, MAX_OPERATIONS = 8e3, 12
+
+
+class Store:
+    """The state service: versions, conditional transactions, the history of changes."""
+
+    def __init__(self) -> None:
+        self.revision = 1
+        self.items: dict[str, tuple[Any, int]] = {
+            SCHEMA_VERSION_KEY: (schema_version_value(SCHEMA_V2), 1)
+        }
+        self.history: list[tuple[str, Any, int]] = [
+            (SCHEMA_VERSION_KEY, schema_version_value(SCHEMA_V2), 1)
+        ]
+
+    def commit(self, transaction: Transaction) -> bool:
+        """Apply a transaction; False if a version is not the expected one."""
+        if any(self.items.get(k, (0, 0))[1] != v for k, v in transaction.expected_versions.items()):
+            return False
+        self.revision += 1
+        for key, value, _ in transaction.changes():
+            self.set(key, value)
+        return True
+
+    def set(self, key: str, value: Any) -> None:
+        """Put a value, or delete the key for None."""
+        if value is None:
+            self.items.pop(key, None)
+        else:
+            self.items[key] = value, self.revision
+        self.history.append((key, value, self.revision))
+
+
+class SimulatedController:
+    """One process of a controller, as far as membership goes."""
+
+    def __init__(self, cluster: "Cluster", name: str) -> None:
+        self.cluster, self.name = cluster, name
+        self.cache = StateCache()
+        self.position = 0  # how much of the store's history the cache holds
+        peers = [other for other in cluster.names if other != name]
+        detector = FailureDetector(name, peers, HEARTBEAT_S, REPORT_S, REPORT_S)
+        self.policy = MembershipPolicy(detector, cluster.names, cluster.teams, self.cache)
+        self.renewed_at = cluster.now
+        self.next_heartbeat = self.next_inventory = self.next_read = cluster.now
+        self.next_decision = cluster.now
+        self.inventories: dict[str, MachineInventory] = {}
+        self.members: dict[str, Member] = {}
+        self.read()
+        self.own = TeamAssignment(name, self.cache.term + 1)
+        transaction = Transaction(self.cache)
+        transaction.put(TERM, self.own.term, self.cache.version(TERM))
+        assert cluster.store.commit(transaction)
+        self.write_inventory()
+
+    def read(self) -> None:
+        """Bring the cache up to date, and note who wrote something."""
+        history = self.cluster.store.history
+        self.cache.apply(self.cluster.store.revision, history[self.position :])
+        self.position = len(history)
+        detector, now = self.policy.detector, self.cluster.now
+        for node, inventory in self.cache.nodes.items():
+            if self.inventories.get(node) is not inventory:
+                self.inventories[node] = inventory
+                detector.record_write(node, now)
+        before, self.members = self.members, self.cache.roster
+        for node, member in self.members.items():
+            known = before.get(node)
+            if known is None or member[:2] > known[:2]:
+                detector.record_write(node, now)
+
+    def write_inventory(self) -> None:
+        """Write the inventory, which renews the lease."""
+        self.read()
+        transaction = Transaction(self.cache)
+        inventory = MachineInventory(
+            self.own.term, 1.0, self.cache.revision, {}, SCHEMA_V2, self.own.term
+        )
+        changes = inventory_changes(transaction, self.name, inventory, VALUE_BYTES)
+        put_inventory(transaction, self.name, changes, 1, MAX_OPERATIONS)
+        assert self.cluster.store.commit(transaction)
+        self.renewed_at = self.cluster.now
+
+    def step(self) -> None:
+        """What this controller does by now, late if it is slow."""
+        cluster, now = self.cluster, self.cluster.now
+        reaches = self.name not in cluster.without_store
+        alive = now - self.renewed_at < LEASE_S
+        if reaches and now >= self.next_read:
+            self.next_read = now + READ_S
+            self.read()
+        if reaches and now >= self.next_inventory:
+            self.next_inventory = now + REPORT_S
+            self.write_inventory()
+        if now >= self.next_heartbeat:
+            self.next_heartbeat = now + HEARTBEAT_S
+            self.send_heartbeat(reaches and alive)
+        if now >= self.next_decision + cluster.late_s.get(self.name, 0.0):
+            self.policy.detector.record_wakeup(now - self.next_decision, now)
+            self.next_decision = now + HEARTBEAT_S / 2
+            for change in self.policy.decide(now, now, self.own if alive else None):
+                if reaches:
+                    self.commit(change)
+
+    def send_heartbeat(self, store_reachable: bool) -> None:
+        detector = self.policy.detector
+        status = PeerStatus(
+            incarnation=self.own.term,
+            fencing_token=self.own.term,
+            store_reachable=store_reachable,
+            late_s=detector.late_s,
+            agents=None,
+            leaving=False,
+            observations=detector.observations(self.cluster.now),
+        )
+        self.cluster.send(self.name, status)
+
+    def commit(self, change: MembershipChange) -> None:
+        """Commit a change, unless the records refute it."""
+        transaction = Transaction(self.cache)
+        try:
+            transition = self.policy.transition(change, self.cache, self.own, self.cluster.now)
+            useful = roster_transitions.write(transaction, transition, MAX_OPERATIONS)
+        except PreconditionFailedError:
+            return
+        if useful and self.cluster.store.commit(transaction):
+            self.cluster.changes.append((self.cluster.now, self.name, change))
+            self.read()
+
+
+class Cluster:
+    """The controllers together, in steps of virtual time."""
+
+    def __init__(self, count: int, teams: int, seed: int = 1) -> None:
+        self.rng = Random(seed)
+        self.names = [f"node-{index}" for index in range(count)]
+        self.teams = [f"team-{index}" for index in range(teams)]
+        self.now = 1000.0
+        self.store = Store()
+        self.nodes: dict[str, SimulatedController] = {}
+        self.restarts_at: dict[str, float] = {}
+        self.paused: set[str] = set()
+        self.late_s: dict[str, float] = {}  # how late its routines are woken
+        self.without_store: set[str] = set()
+        self.lost_links: set[tuple[str, str]] = set()  # heartbeats do not arrive, one way
+        self.refused_links: set[frozenset[str]] = set()  # connections between the two are refused
+        self.in_flight: list[tuple[float, str, str, PeerStatus]] = []
+        self.changes: list[tuple[float, str, MembershipChange]] = []
+        self._crashed_at: dict[str, float] = {}
+        for name in self.names:
+            self.boot(name)
+
+    def boot(self, name: str) -> None:
+        """Start a new process of a controller."""
+        self.nodes[name] = SimulatedController(self, name)
+
+    def crash(self, name: str, for_s: float = RESTART_S) -> None:
+        """End a controller's process; the next one starts after so many seconds."""
+        if self.nodes.pop(name, None) is not None:
+            self._crashed_at[name] = self.now
+        self.restarts_at[name] = self.now + for_s
+
+    def send(self, name: str, status: PeerStatus) -> None:
+        """Send a heartbeat to all others."""
+        for other in self.names:
+            refused = frozenset((name, other)) in self.refused_links
+            if other != name and (name, other) not in self.lost_links and not refused:
+                arrives_at = self.now + self.rng.uniform(0.001, 0.02)
+                self.in_flight.append((arrives_at, name, other, status))
+
+    def step(self) -> None:
+        """Let all do what they do in one step of virtual time."""
+        self.now += STEP_S
+        for name, at in list(self.restarts_at.items()):
+            if at <= self.now:
+                del self.restarts_at[name]
+                self.boot(name)
+        self._deliver()
+        self._expire_leases()
+        for name, node in list(self.nodes.items()):
+            if name in self.paused:
+                continue
+            for other in self.names:
+                if other != name:
+                    refused = frozenset((name, other)) in self.refused_links
+                    gone = other not in self.nodes or refused
+                    node.policy.detector.record_connection(other, gone)
+            node.step()
+
+    def _deliver(self) -> None:
+        arrived = [item for item in self.in_flight if item[0] <= self.now]
+        self.in_flight = [item for item in self.in_flight if item[0] > self.now]
+        for _, name, other, status in arrived:
+            node = self.nodes.get(other)
+            # What arrives at one that is paused is taken in when it goes on.
+            if node is not None and other in self.paused:
+                self.in_flight.append((self.now, name, other, status))
+            elif node is not None:
+                node.policy.detector.record_heartbeat(name, status, self.now)
+
+    def _expire_leases(self) -> None:
+        for name in self.names:
+            node = self.nodes.get(name)
+            since = self._crashed_at.get(name, self.now) if node is None else node.renewed_at
+            if self.now - since > LEASE_S and NODE + name in self.store.items:
+                self.store.revision += 1
+                self.store.set(NODE + name, None)
+
+    def run(self, seconds: float, check: Callable[[], None] = lambda: None) -> None:
+        """Go on for so long, with a check after each step."""
+        end = self.now + seconds
+        while self.now < end:
+            self.step()
+            check()
+
+    def heal(self) -> None:
+        """End all faults but crashes."""
+        self.lost_links.clear()
+        self.refused_links.clear()
+        self.without_store.clear()
+        self.paused.clear()
+        self.late_s.clear()
+
+    def assignments(self) -> dict[str, TeamAssignment]:
+        """The process to which each team is assigned by the records."""
+        cache = StateCache()
+        cache.apply(self.store.revision, self.store.history)
+        return cache.assignments
+
+    def position(self) -> int:
+        """The present position in the store's history, to count moves from."""
+        return len(self.store.history)
+
+    def moves(self, position: int) -> dict[str, int]:
+        """How often each team went from one controller to another since a position."""
+        found = dict.fromkeys(self.teams, 0)
+        last: dict[str, str] = {}
+        for index, (key, value, _) in enumerate(self.store.history):
+            team = key.removeprefix(TEAM)
+            if team == key:
+                continue
+            node = read_team(value).node  # type: ignore[union-attr]
+            found[team] += index >= position and last.get(team, node) != node
+            last[team] = node
+        return found
--- a/tests/membership/test_roster_model.py
+++ b/tests/membership/test_roster_state_space.py
@@ -2,7 +2,7 @@
 
 Three controllers with copies of the records that may be old, transactions that arrive late or
 whose answers are lost, ends, restarts, and suspicions that need no reason at all.  Everything that
-changes the records goes through `sandladder.membership.roster`.
+changes the records goes through `sandladder.membership.roster_transitions`.
 """
 
 import contextlib
@@ -11,7 +11,8 @@
 
 import pytest
 
-from sandladder.membership import RosterRecords, RosterTransition, roster
+from sandladder.membership import RosterRecords, RosterTransition, roster_transitions
+from sandladder.membership.roster import rightful_assignee
 from sandladder.model import IN, OUT, SUSPECT, Member, TeamAssignment
 from sandladder.state import PreconditionFailedError
 
@@ -107,7 +108,7 @@
 
 
 def change(node: Node, name: str, move: RosterTransition) -> Sent | None:
-    """A change of the roster or of the team's placer, as `roster.write` binds it."""
+    """A change of the roster or of the team's placer, as `roster_transitions.write` binds it."""
     if not move:
         return None
     copy = node.copy
@@ -127,23 +128,25 @@
         with contextlib.suppress(PreconditionFailedError):
             yield call(*args)  # type: ignore[operator]
 
-    yield from tried(roster.enter, records, name, node.term, 0.0, [TEAM])
+    yield from tried(roster_transitions.join, records, name, node.term, 0.0, [TEAM])
     if me is None or me.term != node.term:
         return
-    yield from tried(roster.refute, records, name, node.term)
+    yield from tried(roster_transitions.refute, records, name, node.term)
     if me.state != IN:
         return
-    yield from tried(roster.take, records, TEAM, "a", own)
+    yield from tried(roster_transitions.claim, records, TEAM, "a", own)
     for other, member in records.roster.items():
         if other == name:
             continue
         if member.state == IN:
-            yield from tried(roster.accuse, records, other, member, "")
+            yield from tried(roster_transitions.suspect, records, other, member, "")
             if records.assignments[TEAM].node == name:
-                yield from tried(roster.give, records, TEAM, other, records.assignments[TEAM])
+                yield from tried(
+                    roster_transitions.reassign, records, TEAM, other, records.assignments[TEAM]
+                )
         elif member.state == SUSPECT:
-            yield from tried(roster.acquit, records, other, member)
-            yield from tried(roster.expel, records, other, member, "", 0.0, 1.0)
+            yield from tried(roster_transitions.clear, records, other, member)
+            yield from tried(roster_transitions.evict, records, other, member, "", 0.0, 1.0)
 
 
 def steps(world: World, defects: Defects) -> Iterator[World]:
@@ -243,19 +246,22 @@
     records = store.records
     me = records.roster.get(name)
     if me is None or me.state == OUT or me.term != term:
-        yield roster.enter(records, name, term, 0.0, [TEAM])
+        yield roster_transitions.join(records, name, term, 0.0, [TEAM])
     elif me.state == SUSPECT:
-        yield roster.refute(records, name, term)
-    elif roster.rightful(TEAM, "a", records) == name and records.assignments[TEAM] != (name, term):
-        yield roster.take(records, TEAM, "a", TeamAssignment(name, term))
+        yield roster_transitions.refute(records, name, term)
+    elif rightful_assignee(TEAM, "a", records) == name and records.assignments[TEAM] != (
+        name,
+        term,
+    ):
+        yield roster_transitions.claim(records, TEAM, "a", TeamAssignment(name, term))
     else:
         for other, member in records.roster.items():
             if nodes[other].alive or member.state == OUT:
                 continue
             if member.state == IN:
-                yield roster.accuse(records, other, member, "")
+                yield roster_transitions.suspect(records, other, member, "")
             else:
-                yield roster.expel(records, other, member, "", 0.0, 1.0)
+                yield roster_transitions.evict(records, other, member, "", 0.0, 1.0)
             return
 
 
--- a/tools/handover.py
+++ b/tools/handover.py
@@ -1,10 +1,10 @@
 #!/usr/bin/env python3
-"""How soon a controller's trouble is suspected and its teams go over, in the stand-in fleet.
+"""How soon a controller's trouble is suspected and its teams go over, in the simulated cluster.
 
     python tools/handover.py [--nights N] [--hours H]
 
 Plays every kind of fault on the controller that places the first team, among 3 and among 7
-controllers (`tests/membership/fleet.py`: the real stewards and records, in virtual time), and
+controllers (`tests/membership/cluster.py`: the real policies and records, in virtual time), and
 prints one row of a table for each: seconds from the fault to the first suspicion and to the
 hand-over, moves of teams in all, and how often one was doubted or given up that should not have
 been.  Then so many hours without any fault but slow moments.
@@ -22,45 +22,48 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path[:0] = [str(ROOT / part) for part in ("src", "tests", "tests/membership")]
 
-from fleet import HOLD, REPORT, Fleet, Node  # noqa: E402
+from cluster import LEASE_S, REPORT_S, Cluster, SimulatedController  # noqa: E402
 
-from sandladder.membership import HealthLevel  # noqa: E402
+from sandladder.membership import ChangeKind, HealthLevel  # noqa: E402
 
 # How long a night goes on after its fault: time enough to go home again.
 _AFTER_S = 40.0
 
-Fault = Callable[[Fleet, str, bool], None]  # begins (True) or ends (False)
+# Changes that speak against a controller.
+ACCUSATIONS = (ChangeKind.SUSPECT, ChangeKind.EVICT)
 
+Fault = Callable[[Cluster, str, bool], None]  # begins (True) or ends (False)
 
-def _ends(fleet: Fleet, name: str, on: bool) -> None:
+
+def _ends(cluster: Cluster, name: str, on: bool) -> None:
     if on:
-        fleet.crash(name, 1e9)
+        cluster.crash(name, 1e9)
     else:
-        fleet.back[name] = fleet.now
+        cluster.restarts_at[name] = cluster.now
 
 
 def _member(kind: str) -> Fault:
-    def fault(fleet: Fleet, name: str, on: bool) -> None:
-        {True: getattr(fleet, kind).add, False: getattr(fleet, kind).discard}[on](name)
+    def fault(cluster: Cluster, name: str, on: bool) -> None:
+        {True: getattr(cluster, kind).add, False: getattr(cluster, kind).discard}[on](name)
 
     return fault
 
 
-def _slow(fleet: Fleet, name: str, on: bool) -> None:
-    fleet.slow[name] = REPORT if on else 0.0
+def _slow(cluster: Cluster, name: str, on: bool) -> None:
+    cluster.late_s[name] = REPORT_S if on else 0.0
 
 
 def _cut(refused: bool, ways: int) -> Fault:
-    def fault(fleet: Fleet, name: str, on: bool) -> None:
-        for other in fleet.names:
+    def fault(cluster: Cluster, name: str, on: bool) -> None:
+        for other in cluster.names:
             if other == name:
                 continue
             if refused:
-                change = fleet.refused.add if on else fleet.refused.discard
+                change = cluster.refused_links.add if on else cluster.refused_links.discard
                 change(frozenset((name, other)))
                 continue
             for pair in [(name, other), (other, name)][:ways]:
-                (fleet.cut.add if on else fleet.cut.discard)(pair)
+                (cluster.lost_links.add if on else cluster.lost_links.discard)(pair)
 
     return fault
 
@@ -68,9 +71,9 @@
 # How long each lasts, in seconds, and whether its teams should be handed over.
 FAULTS: dict[str, tuple[Fault, float, bool]] = {
     "ends": (_ends, 30.0, True),
-    "stands still, half a report interval": (_member("frozen"), 0.5 * REPORT, False),
-    "stands still past its hold": (_member("frozen"), HOLD + 4.0, True),
-    "loses the state service": (_member("cut_store"), 20.0, True),
+    "stands still, half a report interval": (_member("paused"), 0.5 * REPORT_S, False),
+    "stands still past its hold": (_member("paused"), LEASE_S + 4.0, True),
+    "loses the state service": (_member("without_store"), 20.0, True),
     "timers a report interval late": (_slow, 30.0, False),
     "not heard by anyone": (_cut(False, 1), 30.0, False),
     "cut from all, both ways": (_cut(False, 2), 30.0, False),
@@ -78,32 +81,32 @@
 }
 
 
-def _others(fleet: Fleet, victim: str) -> list[Node]:
-    return [node for name, node in fleet.nodes.items() if name != victim]
+def _others(cluster: Cluster, victim: str) -> list[SimulatedController]:
+    return [node for name, node in cluster.nodes.items() if name != victim]
 
 
 def night(count: int, fault: Fault, for_s: float, seed: int) -> tuple[float, float, int, int]:
-    """Seconds to the suspicion and to the hand-over, moves, and acts against anyone else."""
-    fleet = Fleet(count, teams=3, seed=seed)
-    fleet.play(20.0 + Random(seed).uniform(0.0, 2 * REPORT))
-    team = fleet.teams[0]
-    victim = fleet.assignments()[team].node
-    mark, began, acts = fleet.mark(), fleet.now, len(fleet.acts)
-    fault(fleet, victim, True)
+    """Seconds to the suspicion and to the hand-over, moves, and changes against anyone else."""
+    cluster = Cluster(count, teams=3, seed=seed)
+    cluster.run(20.0 + Random(seed).uniform(0.0, 2 * REPORT_S))
+    team = cluster.teams[0]
+    victim = cluster.assignments()[team].node
+    start, began, changes = cluster.position(), cluster.now, len(cluster.changes)
+    fault(cluster, victim, True)
     suspected = handed = math.inf
     for over_at in (began + for_s, began + for_s + _AFTER_S):
-        while fleet.now < over_at:
-            fleet.step()
-            grades = [node.policy.findings[victim].grade for node in _others(fleet, victim)]
-            if max(grades) >= HealthLevel.UNABLE:
-                suspected = min(suspected, fleet.now - began)
-            if fleet.assignments()[team].node != victim:
-                handed = min(handed, fleet.now - began)
+        while cluster.now < over_at:
+            cluster.step()
+            levels = [node.policy.assessments[victim].level for node in _others(cluster, victim)]
+            if max(levels) >= HealthLevel.UNREADY:
+                suspected = min(suspected, cluster.now - began)
+            if cluster.assignments()[team].node != victim:
+                handed = min(handed, cluster.now - began)
         if over_at == began + for_s:
-            fault(fleet, victim, False)
-    wrong = sum(act.kind in ("accuse", "expel") and act.name != victim
-                for _, _, act in fleet.acts[acts:])  # fmt: skip
-    return suspected, handed, sum(fleet.moves(mark).values()), wrong
+            fault(cluster, victim, False)
+    wrong = sum(change.kind in ACCUSATIONS and change.subject != victim
+                for _, _, change in cluster.changes[changes:])  # fmt: skip
+    return suspected, handed, sum(cluster.moves(start).values()), wrong
 
 
 def _quantiles(times: list[float]) -> str:
@@ -132,17 +135,21 @@
             print(f"| {name} | {count} | {_quantiles(suspected)} | {_quantiles(handed)} "
                   f"| {max(moves)} | {sum(wrong)} |", flush=True)  # fmt: skip
     for count in (3, 7):
-        fleet, rng = Fleet(count, teams=3, seed=count), Random(count)
-        fleet.play(20.0)
-        mark, acts, end = fleet.mark(), len(fleet.acts), fleet.now + 3600.0 * options.hours
-        while fleet.now < end:
+        cluster, rng = Cluster(count, teams=3, seed=count), Random(count)
+        cluster.run(20.0)
+        start, changes, end = (
+            cluster.position(),
+            len(cluster.changes),
+            cluster.now + 3600.0 * options.hours,
+        )
+        while cluster.now < end:
             # A moment's slowness of one of them, as of a busy machine.
-            name = rng.choice(fleet.names)
-            fleet.slow[name] = rng.expovariate(1 / (REPORT / 16))
-            fleet.play(rng.uniform(2.0, 10.0))
-            fleet.slow.pop(name, None)
-        doubts = sum(act.kind in ("accuse", "expel") for _, _, act in fleet.acts[acts:])
-        moves = sum(fleet.moves(mark).values())
+            name = rng.choice(cluster.names)
+            cluster.late_s[name] = rng.expovariate(1 / (REPORT_S / 16))
+            cluster.run(rng.uniform(2.0, 10.0))
+            cluster.late_s.pop(name, None)
+        doubts = sum(change.kind in ACCUSATIONS for _, _, change in cluster.changes[changes:])
+        moves = sum(cluster.moves(start).values())
         bad += doubts + moves
         print(f"| none, {options.hours:g} h of slow moments | {count} | {doubts} doubts | "
               f"{moves} hand-overs | {moves} | {doubts} |")  # fmt: skip
