--- a/src/sandladder/agents/__init__.py
+++ b/src/sandladder/agents/__init__.py
@@ -22,6 +22,7 @@
 from sandladder.agents.lease_expiry import LeaseExpiryProof
 from sandladder.agents.lease_renewal_guard import LeaseRenewalGuard
 from sandladder.agents.reconciler import HeartbeatResult, Reconciler
+from sandladder.agents.reporting_agents import ReportingAgents
 
 __all__ = [
     "AgentRecords",
@@ -32,6 +33,7 @@
     "LeaseExpiryProof",
     "LeaseRenewalGuard",
     "Reconciler",
+    "ReportingAgents",
     "SchedulerCallbacks",
     "StoreAccess",
 ]
--- a/src/sandladder/transport/__init__.py
+++ b/src/sandladder/transport/__init__.py
@@ -1,9 +1,9 @@
-"""HTTP and the connections between controllers: bytes in and out.
+"""HTTP, and the messages and connections between controllers: bytes in and out.
 
-`Server` and `Client` speak HTTP/1.1 with whoever is outside; `peer_transport` has the messages
-between controllers and the connections that carry them.  Each owns its sockets and nothing else:
-what is said, and to whom, is decided by those who use them.  It never retries a request and never
-looks into a body.
+`HttpServer` and `HttpClient` speak HTTP/1.1 with whoever is outside.  `peer_messages` has the
+messages between controllers, `peer_transport` the connections that carry them.  Each owns its
+sockets and nothing else: what is said, and to whom, is decided by those who use them.  It keeps no
+state of the cluster, never retries a request and never looks into a body.
 """
 
 from sandladder.transport.http import (
@@ -16,12 +16,32 @@
 )
 from sandladder.transport.http_client import Client
 from sandladder.transport.http_server import Server
+from sandladder.transport.peer_messages import (
+    ChangeNotice,
+    EndedTask,
+    EndedTasks,
+    ForwardedRequest,
+    ForwardedResponse,
+    LinkObservation,
+    MachineUpdate,
+    PeerHeartbeat,
+)
+from sandladder.transport.peer_transport import PeerConnection
 
 __all__ = [
+    "ChangeNotice",
     "Client",
     "Connect",
+    "EndedTask",
+    "EndedTasks",
+    "ForwardedRequest",
+    "ForwardedResponse",
     "Handler",
     "HttpError",
+    "LinkObservation",
+    "MachineUpdate",
+    "PeerConnection",
+    "PeerHeartbeat",
     "Request",
     "Requester",
     "Response",
--- a/tests/test_read_consistency.py
+++ b/tests/test_read_consistency.py
@@ -13,7 +13,7 @@
 from answers import REQUIRED
 from days import pipeline, warm
 from meeting import CANCEL_S, Meeting, day, leader, play, restart, running, settle, until
-from sandladder.transport import peer_transport
+from sandladder.transport import peer_messages
 from world import World, job, now
 
 
@@ -291,15 +291,15 @@
     forwarded_to: list[str] = []  # peers that got a request of node-0
 
     def frames(source: str, target: str, message: Any) -> None:
-        if source == "node-0" and isinstance(message, peer_transport.ForwardedRequest):
+        if source == "node-0" and isinstance(message, peer_messages.ForwardedRequest):
             forwarded_to.append(target)
         if (
             target == "node-0"
-            and isinstance(message, peer_transport.ForwardedResponse)
+            and isinstance(message, peer_messages.ForwardedResponse)
             and len(forwarded_to) > 1
         ):
             # Both are under way: the first response comes while the second request waits.
-            world.met["a response came late"] += bool(world.nodes["node-0"].peers._asked)
+            world.met["a response came late"] += bool(world.nodes["node-0"].peers.forwarder.pending)
 
     async def main() -> None:
         await warm(world)
