--- a/src/sandladder/model/__init__.py
+++ b/src/sandladder/model/__init__.py
@@ -33,6 +33,7 @@
 from sandladder.model.membership import IN, OUT, SUSPECT, Member, TeamAssignment
 from sandladder.model.quota import (
     EPSILON,
+    NO_USAGE,
     NOTHING,
     Headroom,
     TeamUsage,
@@ -70,6 +71,7 @@
     "Member",
     "NORMAL",
     "NOTHING",
+    "NO_USAGE",
     "OUT",
     "PENDING",
     "PRODUCTION",
