--- a/src/sandladder/controller/controller.py
+++ b/src/sandladder/controller/controller.py
@@ -96,7 +96,7 @@
             settings, self.cache, self.reconciler, self.lease_expiry, self.gate
         )
         self.planner = Planner(self.cluster_view, self.limits, rng)
-        self.preemption = PreemptionPolicy(self.planner)
+        self.preemption = PreemptionPolicy(self.cluster_view, self.planner.selector)
         self.controller_lease = ControllerLease(self)
         self.peers = PeerService(self)
         self.agent_service = AgentService(self)
--- a/src/sandladder/scheduling/__init__.py
+++ b/src/sandladder/scheduling/__init__.py
@@ -1,10 +1,31 @@
-"""Which task starts where: cluster view, planning, premises, reservation, preemption."""
+"""Which task starts on which machine, and whether that decision still stands.
+
+Owns the cluster view (machine observations, free capacity, image caches, job priorities), the
+pending starts with their premises, the reservations, and the choice of tasks to preempt or move.
+All of it is this process' memory, derived from the state cache, inventories and heartbeats.
+
+A round: `Planner.plan` places waiting tasks and admits pending starts to the `Gate`, which
+revalidates them as things change and once more before the commit.  `fill` answers for autoscaling
+what would fit.  Nothing here does I/O, reads a clock, writes a record or sends a command, and no
+decision is final: what is committed is up to `sandladder.jobs`.
+"""
 
 from sandladder.scheduling.bin_packing import Backlog, Bin, Shortage, ZoneShares, fill
-from sandladder.scheduling.cluster_view import SICK_ERRORS, ClusterView, allowed, likeness
+from sandladder.scheduling.cluster_view import ClusterView
+from sandladder.scheduling.free_capacity import (
+    FreeCapacity,
+    MachineOffer,
+    PlacementRequirements,
+    allowed,
+    likeness,
+)
+from sandladder.scheduling.free_capacity_index import SICK_ERRORS
+from sandladder.scheduling.gate import Gate, Verdict
+from sandladder.scheduling.machine_observations import MachineDeparture, MachineObservation
+from sandladder.scheduling.machine_selection import MachineSelector
 from sandladder.scheduling.planner import Planner
-from sandladder.scheduling.preemption import PreemptionPolicy, PreemptionVictim
-from sandladder.scheduling.premises import FreeCapacity, Gate, Outcome, PendingStart, Resource
+from sandladder.scheduling.preemption import PreemptionPolicy, PreemptionVictim, WaitingTask
+from sandladder.scheduling.premises import Outcome, PendingStart, PremiseKind, Resource
 from sandladder.scheduling.reservation import Reservation
 
 __all__ = [
@@ -13,15 +34,23 @@
     "ClusterView",
     "FreeCapacity",
     "Gate",
+    "MachineDeparture",
+    "MachineObservation",
+    "MachineOffer",
+    "MachineSelector",
     "Outcome",
     "PendingStart",
+    "PlacementRequirements",
     "Planner",
     "PreemptionPolicy",
     "PreemptionVictim",
+    "PremiseKind",
     "Reservation",
     "Resource",
     "SICK_ERRORS",
     "Shortage",
+    "Verdict",
+    "WaitingTask",
     "ZoneShares",
     "allowed",
     "fill",
--- a/src/sandladder/scheduling/bin_packing.py
+++ b/src/sandladder/scheduling/bin_packing.py
@@ -1,28 +1,34 @@
-"""Packing of tasks into the room of machines: what fits, and what room is short.
+"""Bin packing of tasks into machines: what fits, and which tasks are left over.
 
-First fit over bins, one a machine that is there, boots, or would be rented.  Pure.
+First fit over bins, one for each machine that is there, boots, or would be rented.  Pure.
 """
 
 from collections import Counter
 from typing import NamedTuple
 
-from sandladder.model import EPSILON, Job, JobSpec, Machine, MachineType
-from sandladder.scheduling.cluster_view import allowed
+from sandladder.model import EPSILON, Job, JobSpec, MachineType
+from sandladder.scheduling.free_capacity import MachineOffer, allowed, machine_offer
 
 
 class Bin:
-    """Room on a machine that is there, boots, or would be rented."""
+    """What is free on a machine that is there, boots, or would be rented."""
 
     __slots__ = ("kind", "offer", "cpus", "gpus", "memory_gb")
 
     def __init__(self, kind: MachineType, zone: str, spot: bool) -> None:
         """An empty machine of a type."""
         self.kind = kind
-        self.offer = (kind.name, zone, spot)
+        self.offer = machine_offer(kind.name, zone, spot)
         self.cpus, self.gpus, self.memory_gb = kind.cpus, kind.gpus, kind.memory_gb
 
     def tasks(self, spec: JobSpec, most: int, keep_gpus: bool = False) -> int:
-        """How many tasks fit, up to so many; `keep_gpus`: next to what free GPUs may need."""
+        """How many tasks of a job fit.
+
+        Args:
+            spec: the job.
+            most: up to how many.
+            keep_gpus: whether they leave free GPUs the cores and memory that belong to these.
+        """
         cpus, memory_gb = self.cpus, self.memory_gb
         if keep_gpus and self.gpus > 0:
             share = self.gpus / self.kind.gpus
@@ -36,7 +42,7 @@
         return max(0, number)
 
     def take(self, spec: JobSpec, most: int, keep_gpus: bool = False) -> int:
-        """Take in up to so many tasks; how many it were."""
+        """Put in as many tasks as fit, as in `tasks`; how many it were."""
         number = self.tasks(spec, most, keep_gpus)
         if number > 0:
             self.cpus -= number * spec.cpus
@@ -48,41 +54,44 @@
 class ZoneShares:
     """How many more tasks of a job each zone may take."""
 
-    def __init__(self, most: int, there: Counter[str], only: str | None = None) -> None:
-        self._most, self._there, self._only = most, there, only
+    def __init__(self, most: int, zone_counts: Counter[str], only: str | None = None) -> None:
+        """At most so many in a zone, next to those that are there; in one zone, if it is named."""
+        self._most = most
+        self._zone_counts = zone_counts
+        self._only = only
 
     @staticmethod
     def of(job: Job) -> "ZoneShares | None":
         """For the waiting tasks of a job; None when any zone will do."""
-        there = Counter(attempt.zone for attempt in job.live.values())
+        zone_counts = Counter(attempt.zone for attempt in job.live.values())
         if job.spec.spread:
-            return ZoneShares((job.spec.tasks + 1) // 2, there)
-        if job.spec.one_zone and there:
-            return ZoneShares(job.spec.tasks, there, next(iter(there)))
+            return ZoneShares((job.spec.tasks + 1) // 2, zone_counts)
+        if job.spec.one_zone and zone_counts:
+            return ZoneShares(job.spec.tasks, zone_counts, next(iter(zone_counts)))
         return None
 
     def left(self, zone: str) -> int:
         """How many more tasks a zone may take."""
         if self._only not in (None, zone):
             return 0
-        return max(0, self._most - self._there[zone])
+        return max(0, self._most - self._zone_counts[zone])
 
     def take(self, zone: str, number: int) -> None:
         """So many tasks are put into a zone."""
-        self._there[zone] += number
+        self._zone_counts[zone] += number
 
 
 class Shortage(NamedTuple):
-    """Tasks without room; `any_kind` if they are worth an ordinary machine."""
+    """Tasks for which there is no capacity."""
 
     spec: JobSpec
-    any_kind: bool
+    any_kind: bool  # they are worth an ordinary machine
     number: int
-    zones: "ZoneShares | None" = None  # where they may be, if not anywhere
+    zones: ZoneShares | None = None  # where they may be, if not anywhere
 
 
 class Backlog:
-    """The work that waits, as it adds up in the order in which jobs get room."""
+    """The work that waits, as it adds up in the order in which jobs are placed."""
 
     def __init__(self) -> None:
         self.core_s = 0.0
@@ -102,29 +111,37 @@
     zones: ZoneShares | None = None,
     keep_gpus: bool = False,
 ) -> int:
-    """Put up to so many tasks into the bins, of the cheaper kind if patient; how many fit.
-
-    `keep_gpus`: they leave free GPUs what those may need of their machine.
-
-    Room in a zone that may take no more of them is none.  Found by a search: replicas that
-    must be spread waited for a zone without room, while the full zone's idle room counted.
+    """Put tasks of a job into the first bins that they fit.
+
+    Args:
+        spec: the job.
+        count: how many tasks, at most.
+        bins: the machines, which are filled in this order.
+        can_wait_for_boot: whether only spot machines are used.
+        zones: how many of them each zone may take, if not any number.  What is free in a zone that
+            may take no more is of no use.  Found by a search: replicas that must be spread waited
+            for a full zone, while what was idle in the other one counted.
+        keep_gpus: whether they leave free GPUs the cores and memory that belong to these.
+
+    Returns:
+        How many tasks were put in.
     """
     left = count
-    suits: dict[tuple[str, str, bool], bool] = {}
+    offers_allowed: dict[MachineOffer, bool] = {}
     for found in bins:
         if left <= 0:
             break
         if found.cpus + EPSILON < spec.cpus or found.memory_gb + EPSILON < spec.memory_gb:
             continue
-        suited = suits.get(found.offer)
-        if suited is None:
-            suited = allowed(spec, Machine(*found.offer, "up", 0.0))
-            suited = suits[found.offer] = suited and (found.offer[2] or not can_wait_for_boot)
-        if suited:
-            zone = found.offer[1]
-            most = left if zones is None else min(left, zones.left(zone))
+        offer = found.offer
+        is_allowed = offers_allowed.get(offer)
+        if is_allowed is None:
+            is_allowed = allowed(spec, offer) and (offer.spot or not can_wait_for_boot)
+            offers_allowed[offer] = is_allowed
+        if is_allowed:
+            most = left if zones is None else min(left, zones.left(offer.zone))
             taken = found.take(spec, most, keep_gpus)
             if zones is not None:
-                zones.take(zone, taken)
+                zones.take(offer.zone, taken)
             left -= taken
     return count - left
--- a/src/sandladder/scheduling/planner.py
+++ b/src/sandladder/scheduling/planner.py
@@ -1,67 +1,104 @@
-"""The choice of a machine for each waiting task.
+"""A round of planning: a machine for each waiting task, as far as there is capacity.
 
-Decided on the picture as it is, and checked again before it is committed (see premises).
+Decided on the cluster view as it is, and checked again before it is committed (see `premises`).
 Pure: no I/O, no clock; randomness comes from a seeded generator.
 """
 
-import heapq
 import math
-from collections import Counter
-from collections.abc import Callable, Iterable, Iterator
+from collections.abc import Iterable, Iterator
 from itertools import groupby, islice
 from random import Random
 
 import msgspec
 
-from sandladder.model import GANG, HIGH, LOW, SERVICE, Job, JobSpec, Placement, TeamUsage
-from sandladder.scheduling.cluster_view import (
-    ClusterView,
-    allowed,
-    beside_gpus,
-    holds,
-    less,
-    likeness,
-)
-from sandladder.scheduling.premises import FreeCapacity, PendingStart
+from sandladder.model import GANG, HIGH, LOW, NO_USAGE, Job, JobSpec, Placement, TeamUsage
+from sandladder.scheduling.candidates import CandidateIndex, ReservedMachines
+from sandladder.scheduling.cluster_view import ClusterView
+from sandladder.scheduling.free_capacity import FreeCapacity
+from sandladder.scheduling.gate import Gate
+from sandladder.scheduling.machine_selection import MachineSelector, Suits
+from sandladder.scheduling.premises import PendingStart
 from sandladder.scheduling.reservation import Reservation
 from sandladder.state import StoreLimits
 
-# The share of the time to start within that a task waits for a machine with its image.
-_INSIST = 0.7
-# To how many times its first size the sample of machines for a task grows for a better fit.
-_MOST_SAMPLES = 32
 # Jobs with pending starts at a time, in changes that one full commit may carry.
 _FULL_COMMITS = 2
 
 
 class Planner:
-    """Chooses machines for the waiting tasks of the jobs that are ours to place."""
+    """Places the waiting tasks of the jobs that this controller schedules."""
 
     def __init__(self, cluster_view: ClusterView, limits: StoreLimits, rng: Random) -> None:
         self.cluster_view = cluster_view
-        self.rng = rng
-        self.avoid: dict[str, set[str]] = {}  # by job, the machines it failed on
-        self.waits = cluster_view.settings.waits
         self.limits = limits
-        self.again_s = math.inf  # after so long a plan may look different by itself
-        self.urgent = False  # whether work that must start at once waited in the last round
+        self.selector = MachineSelector(cluster_view, rng)
         self.reservation = Reservation(cluster_view)
+        self.avoid = self.selector.avoid  # by job, the machines that it failed on
+        self.urgent = False  # whether work that must start at once waited in the last round
+
+    @property
+    def again_s(self) -> float:
+        """After so long, in seconds, a plan may look different by itself."""
+        return self.selector.again_s
+
+    def most_live(self, spec: JobSpec) -> int:
+        """How many tasks of a job may be live, for its record to fit the store."""
+        return min(spec.tasks, self.limits.most_live(len(msgspec.json.encode(spec))))
 
     def plan(
         self, owned: Iterable[Job], backing_off: dict[str, float], least: int = LOW
     ) -> list[PendingStart]:
-        """Admit pending starts for as many waiting tasks as fit; `backing_off` jobs back off.
+        """Admit pending starts for as many waiting tasks as fit.
 
-        Only for jobs of the priority `least` or more.  Seen in a measured day: with the store
-        as the bottleneck, twenty starts were planned for each that could be written.
+        More urgent jobs of other controllers are placed on paper only: the capacity that they
+        are about to take, or that was freed for them, is not given to lesser work.
 
-        More urgent jobs of other controllers are placed on paper only: the room that they
-        are about to take, or that was made for them, is not given to lesser work.
+        Args:
+            owned: the jobs that this controller schedules.
+            backing_off: jobs that are not planned, until when on the steady clock.
+            least: the least priority of the jobs that are planned.  Seen in a measured day: with
+                the store as the bottleneck, twenty starts were planned for each that could be
+                written.
+
+        Returns:
+            The pending starts that were admitted to the gate.
         """
         cluster_view = self.cluster_view
-        self.again_s = math.inf
+        self.selector.again_s = math.inf
+        planned = self._planned(owned, backing_off, least)
+        self.urgent = self._any_urgent(planned)
+        pending = _PendingWork(cluster_view.gate)
+        budget = _FULL_COMMITS * self.limits.txn_ops - len(pending.by_job)
+        if not planned or budget <= 0:
+            return []  # more than can be committed soon would only grow stale
+        jobs = self._in_order(planned)
+        self.reservation.release_expired(jobs)
+        least_cpus = min(job.spec.cpus for job in jobs)
+        candidates = CandidateIndex(cluster_view.usable_capacities(least_cpus), cluster_view)
+        reserved = ReservedMachines(self.reservation, candidates, cluster_view)
+        admitted: list[PendingStart] = []
+        for job, with_image_only in _turns(jobs, cluster_view):
+            if budget <= 0:
+                break
+            reserved.apply_for(job)
+            known = pending.of_job(job)
+            placed = self._place(job, candidates, pending, with_image_only)
+            if not placed:
+                if not (known or with_image_only) and self.reservation.may_reserve(job):
+                    self._reserve(job, pending)
+                continue
+            if job.id in planned:
+                budget -= not known
+                self._admit(placed)
+                admitted += placed
+            known += placed
+        return admitted
+
+    def _planned(self, owned: Iterable[Job], backing_off: dict[str, float], least: int) -> set[str]:
+        """The jobs whose tasks are to be started in this round."""
+        cluster_view = self.cluster_view
         ready = cluster_view.cache.dependency_index.ready
-        mine = {
+        return {
             job.id
             for job in owned
             if job.waiting > 0
@@ -69,339 +106,154 @@
             and cluster_view.outlook(job).priority >= least
             and ready(job)
         }
-        urgent = (cluster_view.outlook(cluster_view.cache.jobs[job_id]) for job_id in mine)
-        self.urgent = any(outlook.priority >= HIGH for outlook in urgent)
-        pending: dict[str, list[PendingStart]] = {}
-        spent: dict[str, TeamUsage] = {}
-        for pending_start in cluster_view.gate.pending.values():
-            pending.setdefault(pending_start.spec.id, []).append(pending_start)
-            used = spent.get(pending_start.spec.team, TeamUsage())
-            spent[pending_start.spec.team] = used.plus(pending_start.spec, 1)
-        left = _FULL_COMMITS * self.limits.txn_ops - len(pending)
-        if not mine or left <= 0:
-            return []  # more than can be committed soon would only grow stale
-        # So are gangs that have waited long: all controllers hold the same room back for them.
-        aged = self.reservation.aged
+
+    def _any_urgent(self, planned: Iterable[str]) -> bool:
+        jobs = self.cluster_view.cache.jobs
+        return any(self._is_urgent(jobs[job_id]) for job_id in planned)
+
+    def _is_urgent(self, job: Job) -> bool:
+        return self.cluster_view.outlook(job).priority >= HIGH
+
+    def _in_order(self, planned: set[str]) -> list[Job]:
+        """The planned jobs, and those of other controllers that capacity is kept for, in order.
+
+        These are urgent ones, and gangs that have waited long: all controllers keep the same
+        machines free for them.
+        """
+        cluster_view = self.cluster_view
+        ready = cluster_view.cache.dependency_index.ready
         jobs = [
             job
             for job in cluster_view.cache.jobs.values()
-            if job.id in mine
-            or (
-                job.waiting > 0
-                and (
-                    cluster_view.outlook(job).priority >= HIGH
-                    or (job.spec.kind == GANG and aged(job))
-                )
-                and ready(job)
-            )
+            if job.id in planned or (job.waiting > 0 and self._keeps_capacity(job) and ready(job))
         ]
         jobs.sort(key=cluster_view.order_key)
-        self.reservation.review(jobs)
-        capacities = cluster_view.usable_capacities(min(job.spec.cpus for job in jobs))
-        admitted: list[PendingStart] = []
-        fitting = _FittingRooms(capacities, cluster_view)
-        held = _HeldRooms(self.reservation, fitting, cluster_view)
-        for job, at_hand in _rounds(jobs, cluster_view):
-            if left <= 0:
-                break
-            held.turn(job)
-            known = pending.setdefault(job.id, [])
-            found = self._place(job, fitting, known, spent, at_hand)
-            if not found:
-                if not (known or at_hand) and self.reservation.may_hold(job):
-                    self._reserve(job, spent)
-                continue
-            if job.id in mine:
-                left -= bool(found and not known)
-                for pending_start in found:
-                    cluster_view.gate.admit(pending_start, cluster_view)
-                admitted += found
-            known += found
-        return admitted
+        return jobs
+
+    def _keeps_capacity(self, job: Job) -> bool:
+        return self._is_urgent(job) or (job.spec.kind == GANG and self.reservation.aged(job))
+
+    def _admit(self, pending_starts: list[PendingStart]) -> None:
+        for pending_start in pending_starts:
+            self.cluster_view.gate.admit(pending_start, self.cluster_view)
 
-    def _reserve(self, job: Job, spent: dict[str, TeamUsage]) -> None:
-        """Hold room back for an aged job that found none, unless its team's limit keeps it."""
-        left = self.cluster_view.team_left(job.spec.team).less(
-            spent.get(job.spec.team, TeamUsage())
-        )
+    def _reserve(self, job: Job, pending: "_PendingWork") -> None:
+        """Reserve machines for a job that found none, unless its team's limit keeps it waiting."""
+        usage = pending.usage(job.spec.team)
+        left = self.cluster_view.team_left(job.spec.team).less(usage)
         need = job.waiting if job.spec.kind == GANG else 1
         if left.covers(job.spec, need):
-            self.reservation.make(job)
-
-    def most_live(self, spec: JobSpec) -> int:
-        """How many tasks of a job may be live, for its record to fit the store."""
-        return min(spec.tasks, self.limits.most_live(len(msgspec.json.encode(spec))))
+            self.reservation.reserve(job)
 
     def _place(
         self,
         job: Job,
-        fitting: "_FittingRooms",
-        waiting: list[PendingStart],
-        spent: dict[str, TeamUsage],
-        at_hand: bool,
+        candidates: CandidateIndex,
+        pending: "_PendingWork",
+        with_image_only: bool,
     ) -> list[PendingStart]:
-        """Places for waiting tasks of a job, only where its image is at hand if so asked."""
-        cluster_view, spec = self.cluster_view, job.spec
-        capacities = fitting.of(job)
+        """Place waiting tasks of a job, and use up what they need of the candidates."""
+        capacities = candidates.of(job)
         if not capacities:
             return []
-        taken = {pending_start.placement.task for pending_start in waiting}
-        if spec.kind == GANG and (job.live or taken):
-            return []
-        used = spent.get(spec.team, TeamUsage())
-        most = cluster_view.team_left(spec.team).less(used).tasks(spec, job.waiting)
-        if spec.kind == GANG:
-            if most < job.waiting:
-                return []
-        else:
-            most = min(most, self.most_live(spec) - len(job.live) - len(taken))
-        count = min(most, job.waiting - len(taken))
+        taken = {start.placement.task for start in pending.of_job(job)}
+        count = self._count(job, len(taken), pending)
         if count <= 0:
             return []
-        zones = [a.zone for a in job.live.values()] + [i.placement.zone for i in waiting]
-        if cluster_view.avoids_gpus(spec) and not cluster_view.keeps_gpus_free(job):
-            count = 1  # it is starved: one task at a time may use what is kept for GPU work
-        in_time = self.in_time(job)
-        if at_hand:
-            may_have = cluster_view.may_have(spec.image)
-            capacities = {
-                machine: capacities[machine] for machine in may_have if machine in capacities
-            }
-
-        def suits(capacity: FreeCapacity) -> bool:
-            if at_hand and cluster_view.fetch_s(spec, capacity) > 0:
-                return False
-            return in_time is None or in_time(capacity)
-
-        chosen = self.choose(spec, capacities, zones, count, suits)
-        if not chosen or (spec.kind == GANG and len(chosen) < job.waiting):
+        chosen = self._choose(job, capacities, pending, count, with_image_only)
+        if not chosen or (job.spec.kind == GANG and len(chosen) < job.waiting):
             return []
-        # Which tasks they are is looked up for those alone that found a place.  Seen in a measured
-        # day: all waiting tasks of arrays of two thousand were listed in each round.
+        # Which tasks they are is looked up for those alone that found a machine.  Seen in a
+        # measured day: all waiting tasks of arrays of two thousand were listed in each round.
         tasks = islice((task for task in job.pending() if task not in taken), len(chosen))
-        found = []
+        placed = []
         for task, capacity in zip(tasks, chosen, strict=True):
-            fitting.take(capacity.id, spec)
-            placement = Placement(task, capacity.id, capacity.zone, capacity.session)
-            found.append(
-                PendingStart(spec, placement, capacity.reporting_controller, job.dependencies)
-            )
-        spent[spec.team] = used.plus(spec, len(found))
-        return found
-
-    def in_time(self, job: Job) -> Callable[[FreeCapacity], bool] | None:
-        """Where the job's tasks would start in time, images and all, while that is insisted on.
-
-        Room comes free all the while: a task that is started a moment later where its image
-        is starts earlier than one that waits for the fetch.
-        """
+            candidates.take(capacity.id, job.spec)
+            placed.append(_pending_start(job, task, capacity))
+        pending.add_usage(job.spec, len(placed))
+        return placed
+
+    def _count(self, job: Job, taken: int, pending: "_PendingWork") -> int:
+        """How many tasks of a job may be started, next to so many that are about to."""
         cluster_view, spec = self.cluster_view, job.spec
-        within = self.waits.get(spec.cls)
-        if within is None:
-            return None
-        age_s = cluster_view.wall - cluster_view.since(job)
-        left_s = _INSIST * within - age_s
-        if left_s <= 0:
-            return None
-        self.again_s = min(self.again_s, left_s)
-        return lambda capacity: age_s + cluster_view.fetch_s(spec, capacity) <= within
-
-    def choose(
+        if spec.kind == GANG and (job.live or taken):
+            return 0
+        left = cluster_view.team_left(spec.team).less(pending.usage(spec.team))
+        most = left.tasks(spec, job.waiting)
+        if spec.kind == GANG:
+            if most < job.waiting:
+                return 0
+        else:
+            most = min(most, self.most_live(spec) - len(job.live) - taken)
+        count = min(most, job.waiting - taken)
+        if count > 1 and cluster_view.gpu_protection.is_starved_of_gpu_machines(job):
+            return 1  # one task at a time may use what is kept for GPU work
+        return count
+
+    def _choose(
         self,
-        spec: JobSpec,
+        job: Job,
         capacities: dict[str, FreeCapacity],
-        zones: list[str],
+        pending: "_PendingWork",
         count: int,
-        suits: Callable[[FreeCapacity], bool] | None = None,
+        with_image_only: bool,
     ) -> list[FreeCapacity]:
-        """The best fits for so many tasks among sampled machines that have room for one.
+        """Machines for so many tasks, only those that have the image if so asked."""
+        cluster_view, spec = self.cluster_view, job.spec
+        zones = [attempt.zone for attempt in job.live.values()]
+        zones += [start.placement.zone for start in pending.of_job(job)]
+        suits: Suits | None = self.selector.in_time(job)
+        if with_image_only:
+            with_image = cluster_view.images.candidates(spec.image)
+            capacities = {name: capacities[name] for name in with_image if name in capacities}
+            suits = self._has_image_and(spec, suits)
+        return self.selector.choose(spec, capacities, zones, count, suits)
 
-        The sample is in proportion to the tasks, and grows until the fits are good, up to
-        `_MOST_SAMPLES` times if there are any: the best of so many is hardly worse.  Only what
-        is sampled is looked at: seen in a measured day, each job that was placed went several
-        times through all machines.  `suits`: what else a machine must be.
-        """
-        able = list(capacities.values())
-        shunned = self.avoid.get(spec.id)
-        if shunned:
-            able = [capacity for capacity in able if capacity.id not in shunned] or able
-        if spec.one_zone:
-            if suits is not None:
-                able = [capacity for capacity in able if suits(capacity)]
-            able, suits = _one_zone(spec, able, zones), None
-        there = Counter(zones)
-        most = (spec.tasks + 1) // 2 if spec.spread else len(zones) + count
-        size = self.cluster_view.settings.operator.sample * count
-        # Look further while the best is not a close fit with its image at hand, if any has it.
-        close = 0.1 * self._run_s(spec)
-        if not any(machine in capacities for machine in self.cluster_view.may_have(spec.image)):
-            close += self.cluster_view.least_fetch_s(spec)
-        most_looked = _MOST_SAMPLES * size
-        heap: list[tuple[float, int, FreeCapacity]] = []
-        looked = 0
-        chosen: list[FreeCapacity] = []
-        while len(chosen) < count:
-            wanting = not heap or (heap[0][0] > close and looked < most_looked)
-            if looked < len(able) and wanting:
-                for index in range(looked, min(len(able), looked + size)):
-                    other = self.rng.randrange(index, len(able))
-                    able[index], able[other] = able[other], able[index]
-                    if suits is not None and not suits(able[index]):
-                        continue
-                    cost = self._cost(spec, able[index], there)
-                    heapq.heappush(heap, (cost, index, able[index]))
-                looked += size
-                size = looked
-                continue
-            if not heap:
-                break
-            cost, index, capacity = heapq.heappop(heap)
-            if there[capacity.zone] >= most:
-                continue
-            if spec.kind == SERVICE and there:
-                # What was chosen since may have made this zone less wanted.
-                now = self._cost(spec, capacity, there)
-                if now > cost + 1e-9 and heap and now > heap[0][0]:
-                    heapq.heappush(heap, (now, index, capacity))
-                    continue
-            chosen.append(capacity)
-            there[capacity.zone] += 1
-            capacity = less(capacity, spec)
-            if holds(capacity, spec):
-                heapq.heappush(heap, (self._cost(spec, capacity, there), index, capacity))
-        return chosen
-
-    def _run_s(self, spec: JobSpec) -> float:
-        return spec.estimate_s or self.cluster_view.settings.platform.deployment.workers.lease_s
-
-    def _cost(self, spec: JobSpec, capacity: FreeCapacity, there: Counter[str]) -> float:
-        """What placing it there costs, in seconds of a task's time."""
-        kind = self.cluster_view.cache.types[capacity.type]
-        cost = self.cluster_view.fetch_s(spec, capacity)
-        run_s = self._run_s(spec)
-        if cost > 0.5 * self.waits.get(spec.cls, math.inf):
-            # The fetch alone would spend the time within which the task should start.
-            cost += 2 * run_s
-        if spec.spot and not capacity.spot:
-            # Ordinary machines are dearer, and work that may not use others needs them.
-            cost += 0.5 * run_s
-        cost += 0.2 * run_s * (capacity.cpus - spec.cpus) / max(kind.cpus, 1.0)
-        if spec.kind == SERVICE:
-            if there:
-                cost += run_s * there[capacity.zone] / there.total()
-            # It stays for long: a large machine would have to be kept for its sake.
-            largest = max(t.cpus for t in self.cluster_view.cache.types.values())
-            cost += run_s * (capacity.cpus - spec.cpus) / largest
-        return cost
-
-
-class _Fitting:
-    """The machines that have room for a task like one, as they are offered to it."""
-
-    def __init__(self, job: Job, cluster_view: ClusterView) -> None:
-        self._spec = job.spec
-        self._patient = cluster_view.can_wait_for_boot(job)
-        self._keeps_gpus = cluster_view.keeps_gpus_free(job)
-        self._types = cluster_view.cache.types
-        self.capacities: dict[str, FreeCapacity] = {}
-
-    def note(self, capacity: FreeCapacity) -> None:
-        """Take in how much room a machine has now."""
-        if not allowed(self._spec, capacity) or (self._patient and not capacity.spot):
-            return
-        offered = (
-            beside_gpus(capacity, self._types[capacity.type]) if self._keeps_gpus else capacity
-        )
-        if holds(offered, self._spec):
-            self.capacities[capacity.id] = offered
-        else:
-            self.capacities.pop(capacity.id, None)
+    def _has_image_and(self, spec: JobSpec, suits: Suits | None) -> Suits:
+        """Whether a machine has a job's image, and suits otherwise."""
+        fetch_s = self.cluster_view.fetch_s
+
+        def suits_with_image(capacity: FreeCapacity) -> bool:
+            return fetch_s(spec, capacity) <= 0 and (suits is None or suits(capacity))
 
+        return suits_with_image
 
-class _FittingRooms:
-    """What room is left in a round of planning, and by likeness of tasks which machines fit.
 
-    All machines are gone through once for each likeness; after that only what changed is looked
-    at again.  Seen in a measured step: with 1,300 workers each job that was placed cost a look at
-    every one of them.
+class _PendingWork:
+    """The starts that are not committed yet, by job, and what they use of their teams' limits.
+
+    Starts that are placed on paper only are counted too.
     """
 
-    def __init__(self, capacities: dict[str, FreeCapacity], cluster_view: ClusterView) -> None:
-        self._capacities, self._picture = capacities, cluster_view
-        self._alike: dict[tuple[object, ...], _Fitting] = {}
-
-    def of(self, job: Job) -> dict[str, FreeCapacity]:
-        """The machines that have room for a task of a job."""
-        cluster_view = self._picture
-        like = (
-            *likeness(job.spec, cluster_view.can_wait_for_boot(job)),
-            cluster_view.keeps_gpus_free(job),
-        )
-        fitting = self._alike.get(like)
-        if fitting is None:
-            fitting = self._alike[like] = _Fitting(job, cluster_view)
-            for capacity in self._capacities.values():
-                fitting.note(capacity)
-        return fitting.capacities
-
-    def take(self, machine: str, spec: JobSpec) -> None:
-        """A task of a job is put on a machine."""
-        self.put_back(less(self._capacities[machine], spec))
-
-    def put_back(self, capacity: FreeCapacity) -> None:
-        """A machine has this room now."""
-        self._capacities[capacity.id] = capacity
-        for fitting in self._alike.values():
-            fitting.note(capacity)
-
-    def remove(self, machine: str) -> FreeCapacity | None:
-        """Offer a machine to nobody; the room that it had."""
-        for fitting in self._alike.values():
-            fitting.capacities.pop(machine, None)
-        return self._capacities.pop(machine, None)
-
-
-class _HeldRooms:
-    """Keeps the rooms of reservations from the jobs that come after those that have them."""
-
-    def __init__(
-        self,
-        reservation: Reservation,
-        fitting: "_FittingRooms",
-        cluster_view: ClusterView,
-    ) -> None:
-        self._reservation, self._picture = reservation, cluster_view
-        self._fitting = fitting
-        self._out: dict[str, FreeCapacity] = {}
-
-    def turn(self, job: Job) -> None:
-        """It is this job's turn to be placed: it sees all rooms but those held before it."""
-        held = self._reservation.held
-        if not held and not self._out:
-            return
-        kept = self._kept_from(job, held)
-        for machine in sorted(kept - self._out.keys()):
-            capacity = self._fitting.remove(machine)
-            if capacity is not None:
-                self._out[machine] = capacity
-        for machine in sorted(self._out.keys() - kept):
-            self._fitting.put_back(self._out.pop(machine))
-
-    def _kept_from(self, job: Job, held: dict[str, frozenset[str]]) -> set[str]:
-        """The machines that are held for others whose claim is no lesser than this job's."""
-        jobs, rank = self._picture.cache.jobs, self._picture.order_key
-        claim = rank(job)[:2]
-        kept: set[str] = set()
-        for assignee, machines in held.items():
-            if assignee != job.id and claim >= rank(jobs[assignee])[:2]:
-                kept |= machines
-        return kept
-
-
-def _rounds(jobs: list[Job], cluster_view: ClusterView) -> Iterator[tuple[Job, bool]]:
-    """The order in which jobs get room, and whether only where their image is at hand.
-
-    Among jobs of one priority, whoever has its image somewhere goes there first: a place
+    def __init__(self, gate: Gate) -> None:
+        self.by_job: dict[str, list[PendingStart]] = {}
+        self._usage: dict[str, TeamUsage] = {}
+        for pending_start in gate.pending.values():
+            self.by_job.setdefault(pending_start.spec.id, []).append(pending_start)
+            self.add_usage(pending_start.spec, 1)
+
+    def of_job(self, job: Job) -> list[PendingStart]:
+        """The starts of a job; the list may be added to."""
+        return self.by_job.setdefault(job.id, [])
+
+    def usage(self, team: str) -> TeamUsage:
+        """What a team's pending starts use."""
+        return self._usage.get(team, NO_USAGE)
+
+    def add_usage(self, spec: JobSpec, tasks: int) -> None:
+        """So many more tasks of a job are pending."""
+        self._usage[spec.team] = self.usage(spec.team).plus(spec, tasks)
+
+
+def _pending_start(job: Job, task: int, capacity: FreeCapacity) -> PendingStart:
+    placement = Placement(task, capacity.id, capacity.zone, capacity.session)
+    return PendingStart(job.spec, placement, capacity.reporting_controller, job.dependencies)
+
+
+def _turns(jobs: list[Job], cluster_view: ClusterView) -> Iterator[tuple[Job, bool]]:
+    """The order in which jobs get machines, and whether only such as have their image.
+
+    Among jobs of one priority, whoever has its image somewhere goes there first: a machine
     serves twice as many short tasks when it need not fetch an image for each.
     """
     for _, group in groupby(jobs, lambda job: cluster_view.outlook(job).priority):
@@ -409,17 +261,3 @@
         if len({job.spec.image for job in alike}) > 1:
             yield from ((job, True) for job in alike if job.spec.kind != GANG)
         yield from ((job, False) for job in alike)
-
-
-def _one_zone(spec: JobSpec, able: list[FreeCapacity], zones: list[str]) -> list[FreeCapacity]:
-    """The machines of the zone that the job is in, or of the one with the most room."""
-    places: Counter[str] = Counter()
-    for capacity in able:
-        number = min(capacity.cpus / spec.cpus, capacity.memory_gb / max(spec.memory_gb, 1e-9))
-        if spec.gpus > 0:
-            number = min(number, capacity.gpus / spec.gpus)
-        places[capacity.zone] += int(number + 1e-6)
-    if not places:
-        return []
-    chosen = zones[0] if zones else max(places, key=lambda zone: places[zone])
-    return [capacity for capacity in able if capacity.zone == chosen]
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -40,7 +40,7 @@
     cluster_view.touch("vm-1")
     cluster_view.forget()
     again = cluster_view.capacity("vm-1")
-    assert again and again.cpus == after.cpus and not cluster_view.over
+    assert again and again.cpus == after.cpus and not cluster_view.free_capacities.ended
 
 
 def test_small_jobs_are_placed_in_spread_and_one_zone() -> None:
@@ -70,10 +70,12 @@
     commit(cache, transaction)
     service = cache.jobs[service.id]
     cache.instances["vm-1"] = Machine("small", "north", False, "draining", 0.0)
-    assert [v.machine for v in PreemptionPolicy(planner).moves([service])] == ["vm-1"]
+    assert [
+        v.machine for v in PreemptionPolicy(cluster_view, planner.selector).moves([service])
+    ] == ["vm-1"]
     cluster_view.now = cluster_view.late_s + 1.0
     cluster_view.tell("node-0", "vm-2", MachineStatus("large", "south", False, 1, 0.0))
-    assert PreemptionPolicy(planner).moves([service]) == []
+    assert PreemptionPolicy(cluster_view, planner.selector).moves([service]) == []
 
 
 def test_renting_knows_which_zone_may_still_take_replicas() -> None:
@@ -126,7 +128,7 @@
     cluster_view.now = 4 * lease_s + 1.0
     hear_again(cluster_view, 2)
     assert set(plan()) == {urgent.id}
-    assert planner.reservation.held == {gang.id: {"vm-2"}}
+    assert planner.reservation.reserved == {gang.id: {"vm-2"}}
     assert set(plan()) == {urgent.id}
     # What runs there ends, and the gang has the machine; then it is anyone's again.
     transaction = Transaction(cache)
@@ -144,7 +146,7 @@
         cluster_view.gate.withdraw(pending_start)
     cluster_view.touch("vm-2")
     planner.plan([cache.jobs[small.id]], {})
-    assert planner.reservation.held == {}
+    assert planner.reservation.reserved == {}
 
 
 def test_no_room_is_held_where_no_machine_could_hold_the_job_or_its_team_may_not_use_it() -> None:
@@ -156,7 +158,7 @@
         hear_again(cluster_view, 2)
         assert planner.plan([gang], {}) == []
         assert planner.reservation.aged(gang)
-        assert planner.reservation.held == {}
+        assert planner.reservation.reserved == {}
 
 
 def test_machines_for_a_reservation_are_looked_for_once_in_a_report_interval(monkeypatch) -> None:
@@ -223,7 +225,7 @@
     found = planner.plan([cache.jobs[filler.id], *gangs], {})
     # One place is left on the large machine and three on the small one: none of them is given away.
     assert found == []
-    held = planner.reservation.held
+    held = planner.reservation.reserved
     assert held.keys() == {gang.id for gang in gangs}
     assert sorted(len(machines) for machines in held.values()) == [1, 1]
     assert frozenset().union(*held.values()) == {"vm-1", "vm-2"}
@@ -254,7 +256,7 @@
 def test_a_victim_is_chosen_once_while_its_stop_waits_to_be_committed() -> None:
     """Seen in a measured day: 2,810 stops in a minute, one task 110 times, as the store was busy."""
     cluster_view, planner, cache, _ = scene()
-    planner.waits["web"] = 1.0
+    planner.selector.waits["web"] = 1.0
     filler = accept(cache, number=1, entries=10, vcpus=2.0, ram_gb=1.0, rank="normal")
     transaction = Transaction(cache)
     places = [Placement(task, "vm-1", "north", 1) for task in range(2)]
@@ -265,7 +267,7 @@
         cluster_view.touch(machine)
     service: dict[str, Any] = {"form": "service", "rank": "prod", "docket": "web", "ram_gb": 1.0}
     web = [accept(cache, number=2 + n, entries=1, vcpus=2.0, **service) for n in range(6)]
-    preemption = PreemptionPolicy(planner)
+    preemption = PreemptionPolicy(cluster_view, planner.selector)
     chosen: list[Any] = []
     report_s = cluster_view.settings.platform.deployment.workers.report_s
     for round_number in range(40):
@@ -275,7 +277,7 @@
         chosen += preemption.preempt(web, {})
     victims = Counter((victim.job, victim.task) for victim in chosen)
     assert len(victims) == len(web) and set(victims.values()) == {1}
-    assert len({victim.claim for victim in chosen}) == len(web)
+    assert len({victim.reason for victim in chosen}) == len(web)
     for victim in chosen:
         preemption.settled(victim)
     cluster_view.now += 3 * report_s
--- a/tests/test_premises.py
+++ b/tests/test_premises.py
@@ -3,7 +3,7 @@
 from helpers import LIMITS, accept, commit, scene
 from sandladder.jobs import start
 from sandladder.model import Placement
-from sandladder.scheduling import Outcome, PendingStart
+from sandladder.scheduling import Outcome, PendingStart, PremiseKind
 from sandladder.state import Transaction
 
 
@@ -38,7 +38,7 @@
     cluster_view.forget()
     cluster_view.touch(pending_starts[0].placement.machine)
     verdict = cluster_view.gate.release(pending_starts[0], cluster_view)
-    assert verdict.outcome is Outcome.BLOCK and verdict.reason == "allowed"
+    assert verdict.outcome is Outcome.BLOCK and verdict.reason is PremiseKind.MACHINE_ALLOWED
     assert not cluster_view.gate.pending
 
 
