--- a/src/sandladder/model/__init__.py
+++ b/src/sandladder/model/__init__.py
@@ -34,6 +34,7 @@
 from sandladder.model.membership import IN, OUT, SUSPECT, Member, TeamAssignment
 from sandladder.model.quota import (
     EPSILON,
+    NO_USAGE,
     NOTHING,
     Headroom,
     TeamUsage,
@@ -75,6 +76,7 @@
     "Member",
     "NORMAL",
     "NOTHING",
+    "NO_USAGE",
     "OUT",
     "PENDING",
     "PRODUCTION",
