--- a/src/sandladder/controller/controller.py
+++ b/src/sandladder/controller/controller.py
@@ -103,7 +103,6 @@
         self.job_api = JobApi(self)
         self.job_committer = JobCommitter(self)
         self.dependency_resolver = DependencyResolver(self)
-        self.schema_migration = SchemaMigration(self)
         host, port = split_addr(settings.platform.external.state)
         self.store = StoreClient(
             connect(host, port, keep=6), deployment.state, self.store_timeout_s
@@ -121,6 +120,17 @@
             trust_s=8 * self.lease_s,
             patience_s=self.report_s,
         )
+        self.schema_migration = SchemaMigration(
+            self.node,
+            self.nodes,
+            self.cache,
+            self.watch,
+            self.committer,
+            self.limits,
+            self.peers,
+            self.controller_lease.alive,
+            self.report_s,
+        )
         host, port = split_addr(settings.platform.external.cloud)
         self.cloud = CloudClient(
             connect(host, port, keep=2), self.lease_s / 3, deployment.cloud.rps
--- /dev/null
+++ b/src/sandladder/state/cache/record_tables.py
@@ -0,0 +1,119 @@
+"""The records of every kind, decoded."""
+
+from collections.abc import Callable
+from typing import Any
+
+from sandladder.model import SCHEMA_V1, MachineType, Member, TeamAssignment, TeamUsage
+from sandladder.state.cache.instances import Instances
+from sandladder.state.cache.inventories import Inventories
+from sandladder.state.cache.job_tables import JobTables
+from sandladder.state.codecs.instances import read_types
+from sandladder.state.codecs.membership import read_roster, read_supported_versions
+from sandladder.state.codecs.schema import read_schema_version
+from sandladder.state.codecs.teams import read_team
+from sandladder.state.keys import (
+    INSTANCE,
+    JOB,
+    NODE,
+    PREFIX_LENGTH,
+    RENTER,
+    ROSTER,
+    SCHEMA_VERSION_KEY,
+    SUPPORTED_VERSIONS_KEY,
+    TEAM,
+    TERM,
+    TYPES,
+    last_component,
+)
+
+
+class RecordTables(JobTables):
+    """What the records say, by kind: jobs, teams, controllers, machines."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.schema_version = SCHEMA_V1  # of the records
+        self.supported_versions: dict[str, int] = {}  # by controller, as far as it has said so
+        self.versions: dict[str, int] = {}  # by key; archived jobs are not among them
+        self.teams: dict[str, TeamUsage] = {}  # as schema version 1 records it
+        self.assignments: dict[str, TeamAssignment] = {}  # in schema version 2
+        self.roster: dict[str, Member] = {}
+        self.types: dict[str, MachineType] = {}
+        self.autoscaler_node: str | None = None
+        self.term = 0  # the last fencing token that was given out
+        self._inventories = Inventories()
+        self._instances = Instances()
+        # Their dictionaries are shared, so that reading them costs no call.
+        self.nodes = self._inventories.by_node
+        self.instances = self._instances.by_name
+        self.chunks = self._instances.chunks
+        # How each kind of record is read: a single record by its key, others by their prefix.
+        self._single_readers: dict[str, Callable[[Any], None]] = {
+            SCHEMA_VERSION_KEY: self._read_schema_version,
+            SUPPORTED_VERSIONS_KEY: self._read_supported_versions,
+            ROSTER: self._read_roster,
+            TERM: self._read_fencing_token,
+            RENTER: self._read_autoscaler_node,
+            TYPES: self._read_types,
+        }
+        self._prefix_readers: dict[str, Callable[[str, Any], None]] = {
+            JOB: self._read_job,
+            TEAM: self._read_team,
+            NODE: self._read_inventory_part,
+            INSTANCE: self._read_instances,
+        }
+
+    def version(self, key: str) -> int:
+        """The version of a key; 0 if there is no such key."""
+        return self.versions.get(key, 0)
+
+    def _read(self, key: str, value: Any) -> None:
+        """Decode a record; None: it was deleted.  Keys of other kinds are ignored.
+
+        A malformed record raises whatever its decoding raises.
+        """
+        read_single = self._single_readers.get(key)
+        if read_single is not None:
+            read_single(value)
+            return
+        read = self._prefix_readers.get(key[:PREFIX_LENGTH])
+        if read is not None:
+            read(key, value)
+
+    def _read_schema_version(self, value: Any) -> None:
+        self.schema_version = SCHEMA_V1 if value is None else read_schema_version(value)
+
+    def _read_supported_versions(self, value: Any) -> None:
+        self.supported_versions = read_supported_versions(value)
+
+    def _read_roster(self, value: Any) -> None:
+        self.roster = read_roster(value)
+
+    def _read_fencing_token(self, value: Any) -> None:
+        self.term = int(value or 0)
+
+    def _read_autoscaler_node(self, value: Any) -> None:
+        self.autoscaler_node = value
+
+    def _read_types(self, value: Any) -> None:
+        self.types = read_types(value)
+
+    def _read_inventory_part(self, key: str, value: Any) -> None:
+        node, _, part = key[len(NODE) :].partition("/")
+        self._inventories.set_part(node, int(part or 0), value)
+
+    def _read_instances(self, key: str, value: Any) -> None:
+        self._instances.set_chunk(int(last_component(key)), value)
+
+    def _read_team(self, key: str, value: Any) -> None:
+        name = last_component(key)
+        found = TeamUsage() if value is None else read_team(value)
+        self.teams.pop(name, None)
+        self.assignments.pop(name, None)
+        if isinstance(found, TeamAssignment):
+            self.assignments[name] = found
+        elif value is not None:
+            self.teams[name] = found
+
+    def _read_job(self, key: str, value: Any) -> None:
+        self.set_job_record(last_component(key), value, self.version(key))
--- a/src/sandladder/state/group_commit.py
+++ b/src/sandladder/state/group_commit.py
@@ -1,22 +1,20 @@
-"""The state service: its client, one budget for its rate limits, the watch and the commits."""
+"""Commits pending changes in groups."""
 
 import logging
-import math
 from collections import Counter
 from collections.abc import Callable
 from functools import partial
 from random import Random
-from typing import Any
 
 import anyio
-import msgspec
 
 from sandladder import clock
 from sandladder.concurrency import Signal
 from sandladder.config import LEAST_TXN_OPS
-from sandladder.model import PRODUCTION
 from sandladder.protocol import wire
+from sandladder.state.batch import Batch, BatchBuilder
 from sandladder.state.cache import StateCache
+from sandladder.state.entries import KeyValue
 from sandladder.state.errors import (
     ConflictError,
     LeaseExpiredError,
@@ -26,99 +24,51 @@
     TransactionTooLargeError,
     UnknownOutcomeError,
 )
-from sandladder.state.records import TEAM
+from sandladder.state.keys import TEAM, key_kind
+from sandladder.state.pending_change import (
+    LAST_PRIORITY,
+    P_HOLD,
+    P_START,
+    P_WORK,
+    PendingChange,
+    Priority,
+    fair_order,
+)
 from sandladder.state.store_client import StoreClient
 from sandladder.state.store_limits import StoreLimits
-from sandladder.state.transaction import Transaction, fence_assignment
+from sandladder.state.transaction import fence_assignment
 from sandladder.state.watch import StoreWatch
 
 log = logging.getLogger(__name__)
 
-
-# Priorities of changes: lower goes first.
-P_HOLD, P_USER, P_START, P_WORK, P_IDLE = 0, 1, 1.5, 2, 9
-
-
-def work_priority(priority: int) -> float:
-    """Among work, more urgent jobs' changes go first."""
-    return P_WORK + (PRODUCTION - priority) / 10
-
-
-def _kind(key: str) -> str:
-    """The kind of a key: its first two parts."""
-    return "/".join(key.split("/")[:2])
+# How often to see whether the cache has been loaded, in seconds.
+_LOAD_POLL_S = 0.05
+# A request may take this share of what the store accepts.
+_BODY_SHARE = 0.6
+# A transaction takes what the write limit allows in this many seconds: where controllers spend
+# their shares in large pieces, they collide and are rejected.
+_PIECE_S = 1.5
+# How the share of a full transaction shrinks on a conflict, and how far; how far it shrinks for the
+# length of a request; and how each commit lets it grow again.
+_SHARE_DECREASE, _LEAST_SHARE, _LEAST_SHARE_BY_LENGTH, _SHARE_INCREASE = 0.5, 0.25, 0.1, 1.5
+# The delay before a rejected transaction is tried again, in puts at the store's write limit: at
+# random up to this after a conflict, and from this to three times as long after an error.
+_RETRY_WRITES = 0.5
 
 
-class PendingChange:
-    """Something to be committed: evaluated on the current records each time it is tried."""
-
-    def __init__(
-        self,
-        name: str,
-        priority: float,
-        cost: int,
-        apply: Callable[[Transaction], bool],
-        *,
-        final: str = "",
-        leased: bool = False,
-        adds: Callable[[Transaction], int] | None = None,
-        on_commit: Callable[[], None] | None = None,
-    ) -> None:
-        self.name = name
-        self.priority = priority  # lower goes first
-        self.cost = cost  # puts and deletes it may take at most
-        self.apply = apply  # False: nothing to do any more
-        self.final = final  # a key whose existence settles the matter
-        self.leased = leased  # it puts a key under a lease
-        self.adds = adds or (lambda transaction: cost)  # what it adds at most to what is in already
-        self.on_commit = on_commit  # called once it is committed, before the news is passed on
-        self.since = 0.0  # when it came to wait, on the steady clock
-        self.finished = anyio.Event()
-        self.error: Exception | None = None
-        self.abandoned = False
-
-    async def wait(self) -> None:
-        """Wait until it is committed; raises Refused when it does not hold."""
-        try:
-            await self.finished.wait()
-        except BaseException:
-            self.abandoned = True
-            raise
-        if self.error is not None:
-            raise self.error
-
-    def settle(self, error: Exception | None = None) -> None:
-        self.error = error
-        self.finished.set()
-
-
-# The share of a transaction that goes to what has waited longest, however urgent the rest is.
-_FLOOR = 0.25
-
-
-def turns(queue: list[PendingChange], last: float, most: int, waited: float) -> list[PendingChange]:
-    """In which order changes are put into a transaction of at most so many puts and deletes.
+class GroupCommitter:
+    """Joins waiting changes into transactions, one at a time, within the write budget.
 
-    The more urgent first, as far as the priority `last`; but a part of each transaction goes to
-    what has waited since before `waited`, whatever its priority.  Seen in a measured day: for as
-    long as urgent work came, nothing else was started.
+    Attributes:
+        committed: how many transactions were applied.
+        rejected: how many failed on a conflict.
+        wrote: how many keys were written, by kind of key.
+        refused_over: how many keys were in conflict, by kind of key.
     """
-    ready = [change for change in queue if change.priority <= last]
-    aged = [change for change in queue if change.priority < P_IDLE and change.since < waited]
-    if not ready or not aged:
-        return ready
-    aged.sort(key=lambda change: change.since)
-    floor = max(1, int(_FLOOR * most))
-    first = ready[: max(1, most - floor)]
-    return list(dict.fromkeys([*first, *aged[:floor], *ready]))
-
-
-class GroupCommitter:
-    """Joins waiting changes into transactions, one at a time, within the write budget."""
 
     def __init__(
         self,
-        state: StoreClient,
+        store: StoreClient,
         cache: StateCache,
         watch: StoreWatch,
         rng: Random,
@@ -128,33 +78,47 @@
         patience_s: float = 1.0,
         most_queued: int = 2048,
     ) -> None:
-        """`patience_s`: what has waited longer goes along with whatever is more urgent."""
-        self._store = state
-        self._mirror = cache
-        self._limits = limits
-        # How long limits that were found smaller than the settings are kept so.
-        self._trust_s = trust_s
-        self._patience_s = patience_s
-        self._shrunk_at = float("-inf")
-        # The teams' records that a transaction without an answer relied on and did not change, with
-        # the version that it relied on.
-        self.unsure: dict[str, int] = {}
+        """Prepare the committer; `run` commits.
+
+        Args:
+            store: where transactions go.
+            cache: the records that changes are evaluated on; gets what was committed.
+            watch: brings the cache up to date after a conflict.
+            rng: for the delays between tries.
+            on_change: called with the keys that a commit changed.
+            limits: what the store accepts.
+            trust_s: how long limits that were found smaller than the settings are kept so.
+            patience_s: what has waited longer goes along with whatever is more urgent.
+            most_queued: from how many waiting changes on the queue counts as full.
+        """
+        self._store = store
+        self._cache = cache
         self._watch = watch
         self._rng = rng
         self._on_change = on_change
-        self._queue: list[PendingChange] = []
-        self._work = Signal()
+        self._limits = limits
+        self._trust_s = trust_s
+        self._patience_s = patience_s
         self._most_queued = most_queued
-        self._share = 1.0  # of a full transaction; rejections shrink it
-        self._one_by_one = False  # to find the change that the service refuses
+        self._queue: list[PendingChange] = []
+        self._added = Signal()
+        # Team records that a transaction without an answer relied on and did not change, with the
+        # version that it relied on.
+        self._in_doubt: dict[str, int] = {}
+        self._builder = BatchBuilder(cache, limits, self._in_doubt, self._resolve)
+        self._share = 1.0  # of a full transaction; conflicts shrink it
+        self._one_by_one = False  # to find the change that the store rejects
+        self._shrunk_at = float("-inf")  # when the limits were found smaller
         self.committed = 0
         self.rejected = 0
-        # What was committed and what was rejected, by kind of key.
         self.wrote: Counter[str] = Counter()
         self.refused_over: Counter[str] = Counter()
 
+    # The queue
+
     @property
     def queued(self) -> int:
+        """How many changes wait."""
         return len(self._queue)
 
     @property
@@ -169,164 +133,153 @@
 
     @property
     def free_in_s(self) -> float:
-        """How long until work that is not urgent may be written."""
+        """How long until work that is not urgent may be written, in seconds."""
         return self._store.writes.delay(self._queue[0].cost if self._queue else 1)
 
     def add(self, change: PendingChange) -> PendingChange:
+        """Queue a change; `change.wait()` waits for its commit."""
         change.since = clock.now()
         self._queue.append(change)
-        self._work.set()
+        self._added.set()
         return change
 
+    def _resolve(self, change: PendingChange, error: Exception | None = None) -> None:
+        if change in self._queue:
+            self._queue.remove(change)
+        change.resolve(error)
+
+    # Building and sending transactions
+
     async def run(self) -> None:
-        """Commit what waits until cancelled."""
+        """Commit what waits until cancelled.
+
+        Cancelled while a transaction is under way, it leaves the changes in the queue: that
+        transaction may be applied or not.
+        """
         while True:
             if not self._queue:
-                await self._work.wait()
+                await self._added.wait()
                 continue
             if not self._watch.loaded:
-                await anyio.sleep(0.05)
+                await anyio.sleep(_LOAD_POLL_S)
                 continue
-            await self._step()
+            await self._commit_next()
 
-    async def _step(self) -> None:
-        self._queue = [c for c in self._queue if not c.abandoned]
+    async def _commit_next(self) -> None:
+        """Send one transaction, or wait for the write budget."""
+        self._queue = [change for change in self._queue if not change.abandoned]
         if not self._queue:
             return
         if self._limits.shrunk and clock.now() - self._shrunk_at > self._trust_s:
             self._limits.trust()
-        self._queue.sort(key=lambda c: c.priority)
-        # While our budget is short, work waits.  What a user or the hold waits for, or work that
-        # must start at once, goes alone: should the service refuse it, it is soon tried again.
+        self._queue.sort(key=lambda change: change.priority)
+        # While the budget is short, work waits.  What a user or the lease waits for, or work that
+        # must start at once, goes alone: should the store reject it, it is soon tried again.
         delay = self._store.writes.delay(self._queue[0].cost)
         urgent = self._queue[0].priority < P_WORK
         if delay > 0 and not urgent:
-            await self._work.wait(delay)
+            await self._added.wait(delay)
             return
-        transaction, chosen = self._gather(P_START if delay > 0 else math.inf)
-        if not chosen:
+        batch = self._build(P_START if delay > 0 else LAST_PRIORITY)
+        if batch is None:
             return
-        changes = transaction.changes()
-        body = wire.commit_body(
-            transaction.expected_versions.items(),
-            [(key, value, lease) for key, value, lease in changes if value is not None],
-            [key for key, value, _ in changes if value is None],
-        )
-        if len(body) > 0.6 * wire.BODY_LIMIT and len(chosen) > 1:
-            self._share = max(0.1, self._share / 2)
+        if len(batch.body) > _BODY_SHARE * wire.BODY_LIMIT and len(batch.members) > 1:
+            self._share = max(_LEAST_SHARE_BY_LENGTH, self._share * _SHARE_DECREASE)
             return
-        await self._send(transaction, body, changes, chosen)
+        await self._send(batch)
 
-    def _gather(self, last: float) -> tuple[Transaction, list[PendingChange]]:
-        """Evaluate changes of a priority up to `last` while they fit one transaction."""
-        # Where controllers spend their shares in large pieces, they meet and are refused.
-        piece = 1.5 * self._store.limits.write_rps * self._store.writes.share
+    def _build(self, last: Priority) -> Batch | None:
+        """Gather changes of a priority up to `last`; None if none is to be committed."""
+        piece = _PIECE_S * self._store.limits.write_rps * self._store.writes.share
         most = max(LEAST_TXN_OPS, int(min(self._limits.txn_ops * self._share, piece)))
-        transaction = Transaction(self._mirror, self._limits.value_bytes, self.unsure)
-        chosen: list[PendingChange] = []
-        waited = clock.now() - self._patience_s
-        for change in turns(self._queue, last, most, waited):
-            if chosen and (self._one_by_one or transaction.size + change.adds(transaction) > most):
-                break
-            trial = transaction.fork()
-            try:
-                useful = change.apply(trial)
-                size = trial.size if useful else 0
-            except PreconditionFailedError as refusal:
-                self._settle(change, refusal)
-                continue
-            except Exception as error:
-                log.exception("the change %s cannot be evaluated", change.name)
-                self._settle(change, PreconditionFailedError(str(error)))
-                continue
-            if not useful:
-                self._settle(change)
-                continue
-            if size > most or len(trial.expected_versions) > self._limits.conditions:
-                if chosen:
-                    break
-                if (
-                    size > self._limits.txn_ops
-                    or len(trial.expected_versions) > self._limits.conditions
-                ):
-                    log.error("%s: %d changes are too many for the store", change.name, size)
-                    self._settle(change, PreconditionFailedError("too large for the store"))
-                    continue
-            transaction = trial
-            chosen.append(change)
-        return transaction, chosen
-
-    def _settle(self, change: PendingChange, error: Exception | None = None) -> None:
-        if change in self._queue:
-            self._queue.remove(change)
-        change.settle(error)
+        queue = fair_order(self._queue, last, most, clock.now() - self._patience_s)
+        return self._builder.build(queue, most, single=self._one_by_one)
 
-    async def _send(
-        self,
-        transaction: Transaction,
-        body: bytes,
-        changes: list[tuple[str, Any, int | None]],
-        chosen: list[PendingChange],
-    ) -> None:
+    async def _send(self, batch: Batch) -> None:
         try:
-            revision = await self._store.commit(body, len(changes))
-        except ConflictError as rejection:
-            self.rejected += 1
-            self.refused_over.update(_kind(key) for key in rejection.failed)
-            log.debug("rejected: %s over %s", [c.name for c in chosen], rejection)
-            for change in chosen:
-                if change.final in rejection.failed:
-                    self._settle(change, PreconditionFailedError("known"))
-            self._share = max(0.25, self._share / 2)
-            # A rejected commit is revalidated: on newer records, after a jittered delay
-            # so that two controllers do not keep meeting.
-            await self._watch.barrier()
-            await anyio.sleep(self._rng.random() * 0.5 / self._store.limits.write_rps)
+            revision = await self._store.commit(batch.body, len(batch.changes))
+        except ConflictError as conflict:
+            await self._on_conflict(batch, conflict)
         except UnknownOutcomeError as error:
-            log.info("a transaction had no answer (%s): reading back", error)
-            # Its guards make it harmless should it be applied later: what is done next
-            # moves the same versions, or finds them moved.  What it relied on without
-            # changing it is moved by a change of its own before anything relies on it again.
-            moved = {key for key, _, _ in changes}
-            for key, version in transaction.expected_versions.items():
-                if key.startswith(TEAM) and key not in moved:
-                    self.unsure[key] = version
-                    self.add(
-                        PendingChange(f"fence {key}", P_HOLD, 1, partial(fence_assignment, key=key))
-                    )
-            await self._watch.barrier()
+            await self._on_unknown_outcome(batch, error)
         except StoreRequestError as error:
-            log.debug("not committed: %s", error)
-            await anyio.sleep((0.5 + self._rng.random()) * 1.0 / self._store.limits.write_rps)
-            if isinstance(error, StoreUnavailableError):
-                # The watch asks anyway.  Seen in a measured day: in an outage a third of the
-                # processor time went into evaluating what waits, eleven times a second.
-                with anyio.move_on_after(self._patience_s):
-                    await self._watch.barrier()
-        except LeaseExpiredError:
-            for change in chosen:
-                if change.leased:
-                    self._settle(change, LeaseExpiredError())
-        except TransactionTooLargeError as refusal:
-            # A sign to shrink: it is never tried again as it is.
-            largest = max((len(msgspec.json.encode(v)) for _, v, _ in changes), default=0)
-            log.warning("%s: %s", [c.name for c in chosen], refusal)
-            self._shrunk_at = clock.now()
-            if not self._limits.refused(len(changes), largest):
-                if len(chosen) == 1:
-                    self._settle(chosen[0], PreconditionFailedError(str(refusal)))
-                self._one_by_one = True
+            await self._on_store_error(error)
+        except LeaseExpiredError as error:
+            self._on_lease_expired(batch, error)
+        except TransactionTooLargeError as error:
+            self._on_too_large(batch, error)
         else:
-            self.committed += 1
-            self.wrote.update(_kind(key) for key, _, _ in changes)
-            for change in chosen:
-                if change.on_commit is not None:
-                    change.on_commit()
-            self._share = min(1.0, self._share * 1.5)
-            self._one_by_one = False
-            for key, _, _ in changes:
-                self.unsure.pop(key, None)
-            changed = self._mirror.wrote(revision, [(key, value) for key, value, _ in changes])
-            for change in chosen:
-                self._settle(change)
-            self._on_change(changed)
+            self._on_committed(batch, revision)
+
+    # What came of a transaction
+
+    def _on_committed(self, batch: Batch, revision: int) -> None:
+        self.committed += 1
+        self.wrote.update(key_kind(change.key) for change in batch.changes)
+        for member in batch.members:
+            if member.on_commit is not None:
+                member.on_commit()
+        self._share = min(1.0, self._share * _SHARE_INCREASE)
+        self._one_by_one = False
+        for change in batch.changes:
+            self._in_doubt.pop(change.key, None)
+        changed = self._cache.wrote(revision, [KeyValue(c.key, c.value) for c in batch.changes])
+        for member in batch.members:
+            self._resolve(member)
+        self._on_change(changed)
+
+    async def _on_conflict(self, batch: Batch, conflict: ConflictError) -> None:
+        """A rejected commit is revalidated on newer records.
+
+        It waits for a random time, so that two controllers do not keep colliding.
+        """
+        self.rejected += 1
+        self.refused_over.update(key_kind(key) for key in conflict.failed)
+        log.debug("conflict: %s over %s", batch.names, conflict)
+        for member in batch.members:
+            if member.final in conflict.failed:
+                self._resolve(member, PreconditionFailedError("known"))
+        self._share = max(_LEAST_SHARE, self._share * _SHARE_DECREASE)
+        await self._watch.barrier()
+        await anyio.sleep(self._rng.random() * _RETRY_WRITES / self._store.limits.write_rps)
+
+    async def _on_unknown_outcome(self, batch: Batch, error: UnknownOutcomeError) -> None:
+        """Read back what may have been written.
+
+        The conditions of the transaction make it harmless should it be applied later: what is done
+        next changes the same keys, or finds them changed.  What it relied on without changing it
+        is written by a change of its own before anything relies on it again.
+        """
+        log.info("a transaction had no answer (%s): reading back", error)
+        written = {change.key for change in batch.changes}
+        for key, version in batch.transaction.expected_versions.items():
+            if key.startswith(TEAM) and key not in written:
+                self._in_doubt[key] = version
+                self.add(
+                    PendingChange(f"fence {key}", P_HOLD, 1, partial(fence_assignment, key=key))
+                )
+        await self._watch.barrier()
+
+    async def _on_store_error(self, error: StoreRequestError) -> None:
+        log.debug("not committed: %s", error)
+        writes = _RETRY_WRITES + self._rng.random()
+        await anyio.sleep(writes / self._store.limits.write_rps)
+        if isinstance(error, StoreUnavailableError):
+            # The watch reads anyway.  Seen in a measured day: in an outage a third of the processor
+            # time went into evaluating what waits, eleven times a second.
+            with anyio.move_on_after(self._patience_s):
+                await self._watch.barrier()
+
+    def _on_lease_expired(self, batch: Batch, error: LeaseExpiredError) -> None:
+        for member in batch.members:
+            if member.leased:
+                self._resolve(member, LeaseExpiredError(error.lease))
+
+    def _on_too_large(self, batch: Batch, error: TransactionTooLargeError) -> None:
+        """Shrink the limits: the transaction is never tried again as it is."""
+        log.warning("%s: %s", batch.names, error)
+        self._shrunk_at = clock.now()
+        if not self._limits.refused(len(batch.changes), batch.largest_value_bytes):
+            if len(batch.members) == 1:
+                self._resolve(batch.members[0], PreconditionFailedError(str(error)))
+            self._one_by_one = True
--- a/src/sandladder/state/instances.py
+++ b/src/sandladder/state/instances.py
@@ -1,46 +1,55 @@
-"""How machine types and rented instances are written."""
-
-import msgspec
+"""Changes of the records of rented instances and of the machine types."""
 
 from sandladder.model import Machine, MachineType
+from sandladder.state.codecs.instances import instances_value, types_value
+from sandladder.state.codecs.machine_names import machine_number
 from sandladder.state.errors import PreconditionFailedError
-from sandladder.state.records import INSTANCE, RENTER, TYPES, instances_value, machine_number
+from sandladder.state.keys import INSTANCE, RENTER, TYPES
 from sandladder.state.transaction import Transaction
 
 
 def put_types(transaction: Transaction, types: dict[str, MachineType]) -> None:
-    transaction.put(TYPES, msgspec.to_builtins(types), transaction.cache.version(TYPES))
+    """Write the machine types that the cloud offers."""
+    transaction.put(TYPES, types_value(types), transaction.cache.version(TYPES))
 
 
 def change_instances(
     transaction: Transaction, news: dict[str, Machine | None], chunk_size: int
 ) -> bool:
-    """Let the renter change the fleet records, None to forget a machine.
+    """Change the records of rented machines; relies on who runs the autoscaler not changing.
+
+    Args:
+        transaction: the transaction to add to.
+        news: by name, the new record of each machine; None removes it.
+        chunk_size: how many machine numbers share a record.
+
+    Returns:
+        False if the records say all that already.
 
-    Binds that it still is the renter.
+    Raises:
+        PreconditionFailedError: an instance record cannot be read.
     """
+    cache = transaction.cache
     # Several changes may share a transaction: each goes on from what the last one left.
-    before = transaction.cache.instances if transaction.instances is None else transaction.instances
-    news = {m: record for m, record in news.items() if before.get(m) != record}
+    before = cache.instances if transaction.instances is None else transaction.instances
+    news = {name: machine for name, machine in news.items() if before.get(name) != machine}
     if not news:
         return False
     instances = transaction.instances = dict(before)
-    for machine, record in news.items():
-        if record is None:
-            instances.pop(machine, None)
+    for name, machine in news.items():
+        if machine is None:
+            instances.pop(name, None)
         else:
-            instances[machine] = record
-    transaction.expected_versions[RENTER] = transaction.cache.version(RENTER)
-    if any(key.startswith(INSTANCE) for key in transaction.cache.unreadable):
-        raise PreconditionFailedError("a fleet record cannot be read")
-    chunks: dict[int, dict[str, Machine]] = {machine_number(m) // chunk_size: {} for m in news}
-    for machine, kept in instances.items():
-        members = chunks.get(machine_number(machine) // chunk_size)
+            instances[name] = machine
+    transaction.expected_versions[RENTER] = cache.version(RENTER)
+    if any(key.startswith(INSTANCE) for key in cache.unreadable):
+        raise PreconditionFailedError("an instance record cannot be read")
+    chunks: dict[int, dict[str, Machine]] = {machine_number(n) // chunk_size: {} for n in news}
+    for name, machine in instances.items():
+        members = chunks.get(machine_number(name) // chunk_size)
         if members is not None:
-            members[machine] = kept
+            members[name] = machine
     for chunk, members in chunks.items():
         key = f"{INSTANCE}{chunk}"
-        transaction.put(
-            key, instances_value(members) if members else None, transaction.cache.version(key)
-        )
+        transaction.put(key, instances_value(members) if members else None, cache.version(key))
     return True
--- a/src/sandladder/state/inventory.py
+++ b/src/sandladder/state/inventory.py
@@ -1,34 +1,50 @@
-"""How a controller's machine inventory is written."""
+"""Changes of a controller's machine inventory."""
 
 from typing import Any
 
 from sandladder.model import MachineInventory
-from sandladder.state.records import NODE, extra_key, fold_inventory, pack_inventory
+from sandladder.state.codecs.inventory import fold_inventory, pack_inventory
+from sandladder.state.entries import KeyValue
+from sandladder.state.keys import NODE, continuation_key
 from sandladder.state.transaction import Transaction
 
 
 def inventory_changes(
     transaction: Transaction, node: str, inventory: MachineInventory, value_bytes: float
 ) -> list[tuple[str, Any]]:
-    """A room summary's values under their keys, in as many parts as the store's limit asks."""
+    """The keys and values of an inventory, in as many parts as the store's limit requires.
+
+    Args:
+        transaction: tells the schema version.
+        node: the controller whose inventory it is.
+        inventory: its machines.
+        value_bytes: how long a value may be, in bytes.
+    """
     key = NODE + node
     if transaction.is_schema_v1:
         values = pack_inventory(inventory, value_bytes)
         keys = [key, *(f"{key}/{index}" for index in range(1, len(values)))]
     else:
         values = fold_inventory(inventory, value_bytes)
-        keys = [key, *(extra_key(key, index) for index in range(1, len(values)))]
-    return list(zip(keys, values, strict=True))
+        keys = [key, *(continuation_key(key, index) for index in range(1, len(values)))]
+    return [KeyValue(name, value) for name, value in zip(keys, values, strict=True)]
 
 
 def put_inventory(
     transaction: Transaction, node: str, changes: list[tuple[str, Any]], lease: int, most: int
 ) -> None:
-    """Write a room summary under its writer's hold."""
+    """Write an inventory under its controller's lease, and delete parts that it no longer has.
+
+    Args:
+        transaction: the transaction to add to.
+        node: the controller whose inventory it is.
+        changes: the keys and values, by `inventory_changes`.
+        lease: the controller's lease.
+        most: how many puts and deletes the transaction may come to.
+    """
     for key, value in changes:
         transaction.write(key, value, lease)
-    # Parts of the first form that it no longer has; further parts of the second go with
-    # the hold.
+    # Parts of schema version 1; those of version 2 expire with the lease.
     index = len(changes) if transaction.is_schema_v1 else 1
     while transaction.cache.version(old := f"{NODE}{node}/{index}") and transaction.size < most:
         transaction.write(old, None)
--- /dev/null
+++ b/src/sandladder/state/schema_changes.py
@@ -0,0 +1,134 @@
+"""Changes of the records that bring them to a new schema version.
+
+See docs/upgrading.md.  Pure, but for `retire`.
+"""
+
+from sandladder.model import SCHEMA_V1, SCHEMA_V2
+from sandladder.protocol import wire
+from sandladder.state.cache import StateCache
+from sandladder.state.codecs.instances import instances_value
+from sandladder.state.codecs.schema import schema_version_value
+from sandladder.state.entries import KeyChange, StoredValue
+from sandladder.state.errors import ConflictError, PreconditionFailedError
+from sandladder.state.keys import (
+    INSTANCE,
+    JOB,
+    NODE,
+    SCHEMA_VERSION_KEY,
+    SUPPORTED_VERSIONS_KEY,
+    TERM,
+    TYPES,
+    last_component,
+)
+from sandladder.state.store_client import StoreClient
+from sandladder.state.transaction import Transaction
+
+
+def fresh(cache: StateCache) -> bool:
+    """Whether nobody has ever written to the store.
+
+    The first records that are written are the fencing token and the machine types.
+    """
+    return not cache.version(TERM) and not cache.version(TYPES) and not cache.jobs
+
+
+def mark_schema_version(transaction: Transaction, node: str, schema_version: int | None) -> bool:
+    """Record which schema version a controller's program supports; None: it is not known.
+
+    False if that is recorded already.
+    """
+    supported = dict(transaction.cache.supported_versions)
+    if schema_version is None:
+        supported.pop(node, None)
+    else:
+        supported[node] = schema_version
+    if supported == transaction.cache.supported_versions:
+        return False
+    version = transaction.cache.version(SUPPORTED_VERSIONS_KEY)
+    transaction.put(SUPPORTED_VERSIONS_KEY, supported, version)
+    return True
+
+
+def raise_schema_version(transaction: Transaction, nodes: list[str]) -> bool:
+    """Have records written in this program's schema version from now on.
+
+    All controllers must support it.  That is proved by what each of them wrote, never by silence:
+    by its record of supported versions, and by its inventory if it runs.  The transaction relies on
+    the inventories, so that no controller can begin with an older program unnoticed; and it raises
+    the fencing token, so that one that has just read the records must read again before it can
+    acquire its lease.
+
+    Returns:
+        False if the records are of that version already.
+
+    Raises:
+        PreconditionFailedError: a controller is not known to support it.
+    """
+    cache = transaction.cache
+    if cache.schema_version >= SCHEMA_V2:
+        return False
+    for node in nodes:
+        inventory = cache.nodes.get(node)
+        supported = cache.supported_versions.get(node, SCHEMA_V1)
+        if supported < SCHEMA_V2 or node in cache.unreadable_nodes:
+            raise PreconditionFailedError(f"{node} is not known to support the schema version")
+        if inventory is not None and inventory.schema_version < SCHEMA_V2:
+            raise PreconditionFailedError(f"{node} runs an older version")
+        transaction.expected_versions[NODE + node] = cache.version(NODE + node)
+    version = cache.version(SUPPORTED_VERSIONS_KEY)
+    transaction.expected_versions[SUPPORTED_VERSIONS_KEY] = version
+    transaction.put(SCHEMA_VERSION_KEY, schema_version_value(SCHEMA_V2), 0)
+    transaction.put(TERM, cache.term + 1, cache.version(TERM))
+    return True
+
+
+def rewrite_schema_version(transaction: Transaction) -> bool:
+    """Write the record of the schema version again, as it is."""
+    transaction.put(
+        SCHEMA_VERSION_KEY,
+        schema_version_value(SCHEMA_V2),
+        transaction.cache.version(SCHEMA_VERSION_KEY),
+    )
+    return True
+
+
+def rewrite_record(transaction: Transaction, key: str) -> bool:
+    """Write a job's or an instance record again as it is, within the limits in force.
+
+    False if there is no such record any more.
+    """
+    cache = transaction.cache
+    name = last_component(key)
+    if key.startswith(JOB):
+        return transaction.job(name) is not None
+    if key.startswith(INSTANCE) and int(name) in cache.chunks:
+        machines = {machine: cache.instances[machine] for machine in cache.chunks[int(name)]}
+        transaction.put(key, instances_value(machines), cache.version(key))
+        return True
+    return False
+
+
+async def retire(store: StoreClient, node: str) -> str | None:
+    """Record that a controller which never comes back does not block the new schema version.
+
+    It must not be running: the transaction relies on its inventory, which expires with its lease,
+    being absent.
+
+    Returns:
+        None once that is written; otherwise why it is not, for the operator.
+
+    Raises:
+        StoreRequestError: the store did not answer or did not carry it out.
+        UnknownOutcomeError: it may have been written or not.
+    """
+    if await store.get(NODE + node) is not None:
+        return f"{node} lives: it records itself which schema version it supports"
+    found = await store.get(SUPPORTED_VERSIONS_KEY)
+    supported, version = found or StoredValue({}, 0)
+    change = KeyChange(SUPPORTED_VERSIONS_KEY, {**supported, node: SCHEMA_V2})
+    body = wire.commit_body([(NODE + node, 0), (SUPPORTED_VERSIONS_KEY, version)], [change], [])
+    try:
+        await store.commit(body, 1)
+    except ConflictError as conflict:
+        return f"something changed meanwhile ({conflict}): try again"
+    return None
--- a/src/sandladder/state/schema_migration.py
+++ b/src/sandladder/state/schema_migration.py
@@ -1,227 +1,194 @@
-"""The duty that brings the records to this version's form, once all controllers understand it.
+"""Brings the records to this program's schema version, once all controllers support it.
 
-See docs/upgrading.md.  What this module does while the form is plain can go once no store is
-left that the version before wrote.
+See docs/upgrading.md.  What this module does while the records are of schema version 1 can go once
+no store is left that the version before wrote.
 """
 
 import contextlib
 import logging
 from collections.abc import Callable
 from functools import partial
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 import anyio
 import msgspec
 
 from sandladder.model import SCHEMA_V1, SCHEMA_V2
-from sandladder.protocol import wire
 from sandladder.state.cache import StateCache
-from sandladder.state.errors import ConflictError, PreconditionFailedError
-from sandladder.state.group_commit import P_IDLE, P_USER, PendingChange
-from sandladder.state.records import (
-    INSTANCE,
-    JOB,
-    MARKS,
-    NODE,
-    SCHEMA_VERSION_KEY,
-    TERM,
-    TYPES,
-    instances_value,
-    job_value,
-    schema_version_value,
+from sandladder.state.codecs.instances import instances_value
+from sandladder.state.codecs.jobs import job_value
+from sandladder.state.errors import PreconditionFailedError
+from sandladder.state.group_commit import GroupCommitter
+from sandladder.state.keys import INSTANCE, JOB
+from sandladder.state.pending_change import P_IDLE, P_USER, PendingChange
+from sandladder.state.schema_changes import (
+    mark_schema_version,
+    raise_schema_version,
+    rewrite_record,
+    rewrite_schema_version,
 )
-from sandladder.state.store_client import StoreClient
+from sandladder.state.store_limits import StoreLimits
 from sandladder.state.transaction import Transaction
-
-if TYPE_CHECKING:
-    from sandladder.controller import Controller
+from sandladder.state.watch import StoreWatch
 
 log = logging.getLogger(__name__)
 
+# How many steps of the migration, and checks for older controllers, an agent's heartbeat interval
+# has.
+_STEPS_PER_HEARTBEAT, _CHECKS_PER_HEARTBEAT = 4, 5
 
-class SchemaMigration:
-    """Says what this controller understands, and raises the form when all do."""
 
-    def __init__(self, controller: "Controller") -> None:
-        self._c = controller
+class ClusterMembers(Protocol):
+    """What the migration asks about the other controllers."""
+
+    def older(self) -> set[str]:
+        """The controllers that send heartbeats and support schema version 1 only."""
+
+    def live_nodes(self) -> list[str]:
+        """The controllers that are members now."""
+
+    def places(self, team: str) -> bool:
+        """Whether this controller schedules a team's jobs."""
+
+
+class SchemaMigration:
+    """Records which schema version this controller supports, and raises it when all do."""
+
+    def __init__(
+        self,
+        node: str,
+        nodes: list[str],
+        cache: StateCache,
+        watch: StoreWatch,
+        committer: GroupCommitter,
+        limits: StoreLimits,
+        members: ClusterMembers,
+        lease_alive: Callable[[], bool],
+        agent_heartbeat_s: float,
+    ) -> None:
+        """Prepare the migration; `run` performs it.
+
+        Args:
+            node: this controller.
+            nodes: all controllers that the settings name.
+            cache: the records.
+            watch: brings the cache up to date.
+            committer: commits the changes.
+            limits: what the store accepts.
+            members: the other controllers.
+            lease_alive: whether this controller's lease is certainly valid now.
+            agent_heartbeat_s: the interval of the agents' heartbeats, in seconds.
+        """
+        self._node = node
+        self._nodes = nodes
+        self._cache = cache
+        self._watch = watch
+        self._committer = committer
+        self._limits = limits
+        self._members = members
+        self._lease_alive = lease_alive
+        self._step_s = agent_heartbeat_s / _STEPS_PER_HEARTBEAT
+        self._check_s = agent_heartbeat_s / _CHECKS_PER_HEARTBEAT
 
     async def run(self) -> None:
-        """Raise the form, shorten what is too long for the limits to come, and rest."""
-        c = self._c
+        """Raise the schema version; then shorten long records, and keep older programs out.
+
+        Runs until cancelled.  Cancelled at any time it leaves nothing half done: each step is one
+        transaction.
+        """
         raised_here = False
-        while not c.watch.loaded or c.cache.schema_version < SCHEMA_V2:
-            await anyio.sleep(c.report_s / 4)
-            if (
-                not c.watch.loaded
-                or not c.controller_lease.alive()
-                or c.cache.schema_version >= SCHEMA_V2
-            ):
+        while not self._watch.loaded or self._cache.schema_version < SCHEMA_V2:
+            await anyio.sleep(self._step_s)
+            if not self._may_step():
                 continue
             raised_here = True
             try:
                 await self._step()
             except PreconditionFailedError as refusal:
-                log.debug("the records stay in the plain form: %s", refusal)
+                log.debug("the records stay at schema version %d: %s", SCHEMA_V1, refusal)
         if raised_here:
-            log.info("the records are of the form %d now", c.cache.schema_version)
+            log.info("the records are at schema version %d now", self._cache.schema_version)
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._shorten)
-            tasks.start_soon(self._bar)
+            tasks.start_soon(self._shorten_records)
+            tasks.start_soon(self._block_older_controllers)
+
+    def _may_step(self) -> bool:
+        return self._watch.loaded and self._lease_alive() and self._cache.schema_version < SCHEMA_V2
+
+    async def _step(self) -> None:
+        """Record what is known to be supported, and raise the version if all support it."""
+        if not self._supports_v2(self._node):
+            await self._mark(self._node, SCHEMA_V2)
+        for node, inventory in self._cache.nodes.items():
+            if inventory.schema_version < SCHEMA_V2 and self._supports_v2(node):
+                log.warning("%s runs an older version again", node)
+                await self._mark(node, None)
+        if all(self._supports_v2(node) for node in self._nodes):
+            # The proof rests on everything written until now.
+            await self._watch.barrier()
+            await self._commit("schema version", partial(raise_schema_version, nodes=self._nodes))
+
+    def _supports_v2(self, node: str) -> bool:
+        return self._cache.supported_versions.get(node, SCHEMA_V1) >= SCHEMA_V2
+
+    async def _mark(self, node: str, schema_version: int | None) -> None:
+        await self._commit(
+            "supported schema version",
+            partial(mark_schema_version, node=node, schema_version=schema_version),
+        )
+
+    async def _commit(
+        self, name: str, apply: Callable[[Transaction], bool], priority: float = P_USER
+    ) -> None:
+        await self._committer.add(PendingChange(name, priority, 2, apply)).wait()
 
-    async def _bar(self) -> None:
+    async def _block_older_controllers(self) -> None:
         """Keep a controller of the version before from reading these records.
 
-        It half understands them.  It tries again and again, and passes over what it failed on
-        before unless that is written anew.
+        It half understands them.  It tries again and again, and skips what it failed on before
+        unless that is written anew.
         """
-        c = self._c
-        backing_off: set[str] = set()
+        known: set[str] = set()
         while True:
-            await anyio.sleep(c.report_s / 5)
-            old = c.peers.older()
-            if old - backing_off:
-                log.error("%s run a version that does not know these records", sorted(old))
-            backing_off = old
-            # One of those that hear it is enough.
+            await anyio.sleep(self._check_s)
+            older = self._members.older()
+            if older - known:
+                log.error("%s run a version that does not support these records", sorted(older))
+            known = older
+            # One of the controllers that receive its heartbeats is enough.
             if (
-                old
-                and c.controller_lease.alive()
-                and c.node == min(set(c.peers.live_nodes()) - old)
+                older
+                and self._lease_alive()
+                and self._node == min(set(self._members.live_nodes()) - older)
             ):
                 with contextlib.suppress(PreconditionFailedError):
-                    await self._commit("form", again)
-
-    async def _step(self) -> None:
-        cache, node = self._c.cache, self._c.node
-        if cache.marks.get(node, SCHEMA_V1) < SCHEMA_V2:
-            await self._commit(
-                "mark of the form",
-                partial(mark_schema_version, node=node, schema_version=SCHEMA_V2),
-            )
-        for name, inventory in cache.nodes.items():
-            if (
-                inventory.schema_version < SCHEMA_V2
-                and cache.marks.get(name, SCHEMA_V1) >= SCHEMA_V2
-            ):
-                log.warning("%s runs an older version again", name)
-                await self._commit(
-                    "mark of the form", partial(mark_schema_version, node=name, schema_version=None)
-                )
-        if all(cache.marks.get(name, SCHEMA_V1) >= SCHEMA_V2 for name in self._c.nodes):
-            # Its proof rests on everything written until now.
-            await self._c.watch.barrier()
-            await self._commit("form", partial(raise_schema_version, nodes=self._c.nodes))
+                    await self._commit("schema version", rewrite_schema_version)
 
-    async def _commit(
-        self, name: str, apply: Callable[[Transaction], bool], priority: float = P_USER
-    ) -> None:
-        await self._c.committer.add(PendingChange(name, priority, 2, apply)).wait()
-
-    async def _shorten(self) -> None:
+    async def _shorten_records(self) -> None:
         """Rewrite what is longer than the limits to come, while there is time."""
-        c = self._c
-        most = c.limits.value_bytes
+        for key in self._long_records():
+            try:
+                await self._commit(f"shorter {key}", partial(rewrite_record, key=key), P_IDLE)
+            except PreconditionFailedError as refusal:
+                log.debug("%s stays as it is: %s", key, refusal)
+
+    def _long_records(self) -> list[str]:
+        """The keys of this controller's records that are longer than a value may be."""
+        cache, most = self._cache, self._limits.value_bytes
         keys = [
             JOB + job.id
-            for job in c.cache.jobs.values()
-            if c.peers.places(job.spec.team) and _length(job_value(job)) > most
+            for job in cache.jobs.values()
+            if self._members.places(job.spec.team) and _length(job_value(job)) > most
         ]
-        if c.cache.autoscaler_node == c.node:
+        if cache.autoscaler_node == self._node:
             keys += [
                 f"{INSTANCE}{chunk}"
-                for chunk, machines in c.cache.chunks.items()
-                if _length(instances_value({m: c.cache.instances[m] for m in machines})) > most
+                for chunk, names in cache.chunks.items()
+                if _length(instances_value({name: cache.instances[name] for name in names})) > most
             ]
-        for key in keys:
-            try:
-                await self._commit(f"shorter {key}", partial(rewrite, key=key), P_IDLE)
-            except PreconditionFailedError as refusal:
-                log.debug("%s stays as it is: %s", key, refusal)
-
-
-def again(transaction: Transaction) -> bool:
-    """Write the mark of the form anew."""
-    transaction.put(
-        SCHEMA_VERSION_KEY,
-        schema_version_value(SCHEMA_V2),
-        transaction.cache.version(SCHEMA_VERSION_KEY),
-    )
-    return True
+        return keys
 
 
 def _length(value: object) -> int:
+    """How long a value is, in bytes."""
     return len(msgspec.json.encode(value))
-
-
-async def retire(state: StoreClient, node: str) -> str | None:
-    """Say for a controller that never comes back that it does not bar the second form.
-
-    None when that is written; otherwise why it is not.  It must not live: its summary, which
-    goes with its hold, is bound to be absent.
-    """
-    if await state.get(NODE + node) is not None:
-        return f"{node} lives: it says itself what it understands"
-    found = await state.get(MARKS)
-    marks, version = found or ({}, 0)
-    body = wire.commit_body(
-        [(NODE + node, 0), (MARKS, version)], [(MARKS, {**marks, node: SCHEMA_V2}, None)], []
-    )
-    try:
-        await state.commit(body, 1)
-    except ConflictError as rejection:
-        return f"something changed meanwhile ({rejection}): try again"
-    return None
-
-
-def fresh(cache: StateCache) -> bool:
-    """Whether nobody has ever written here: the first things written are term and types."""
-    return not cache.version(TERM) and not cache.version(TYPES) and not cache.jobs
-
-
-def mark_schema_version(transaction: Transaction, node: str, schema_version: int | None) -> bool:
-    """Note which form of records a controller's program understands; None: not known any more."""
-    marks = dict(transaction.cache.marks)
-    if schema_version is None:
-        marks.pop(node, None)
-    else:
-        marks[node] = schema_version
-    if marks == transaction.cache.marks:
-        return False
-    transaction.put(MARKS, marks, transaction.cache.version(MARKS))
-    return True
-
-
-def raise_schema_version(transaction: Transaction, nodes: list[str]) -> bool:
-    """Have records written in our form from now on: all controllers understand it.
-
-    That is proved by what each of them wrote, never by silence: by its mark, and by its room
-    summary if it lives.  The summaries are bound, so none can begin with an older program
-    unseen; and the term moves, so that one that has just read the records must read again
-    before it can enter.
-    """
-    cache = transaction.cache
-    if cache.schema_version >= SCHEMA_V2:
-        return False
-    for node in nodes:
-        inventory = cache.nodes.get(node)
-        if cache.marks.get(node, SCHEMA_V1) < SCHEMA_V2 or node in cache.unreadable_nodes:
-            raise PreconditionFailedError(f"{node} is not known to understand the form")
-        if inventory is not None and inventory.schema_version < SCHEMA_V2:
-            raise PreconditionFailedError(f"{node} runs an older version")
-        transaction.expected_versions[NODE + node] = cache.version(NODE + node)
-    transaction.expected_versions[MARKS] = cache.version(MARKS)
-    transaction.put(SCHEMA_VERSION_KEY, schema_version_value(SCHEMA_V2), 0)
-    transaction.put(TERM, cache.term + 1, cache.version(TERM))
-    return True
-
-
-def rewrite(transaction: Transaction, key: str) -> bool:
-    """Write a record again as it is, within the limits in force."""
-    name = key.rpartition("/")[2]
-    if key.startswith(JOB):
-        return transaction.job(name) is not None
-    if key.startswith(INSTANCE) and int(name) in transaction.cache.chunks:
-        machines = {m: transaction.cache.instances[m] for m in transaction.cache.chunks[int(name)]}
-        transaction.put(key, instances_value(machines), transaction.cache.version(key))
-        return True
-    return False
--- a/src/sandladder/state/store_limits.py
+++ b/src/sandladder/state/store_limits.py
@@ -1,97 +1,123 @@
-"""What the state service takes: the settings' limits, those to come, and what it refuses.
+"""The sizes that the store accepts: by the settings, by those to come, and by its rejections.
 
-Once the records are of the second form everything is written within the smaller of today's
-limits and those that may begin without notice.  A refusal for size shrinks what is written;
-after a while the settings are trusted again.  Pure.
+Once the records are of schema version 2 everything is written within the smaller of today's limits
+and those that may come into force without notice.  A rejection for size shrinks what is written;
+after a while the settings are trusted again.  Pure: no I/O, no clock.
 """
 
+import math
+
 from sandladder.config import LEAST_TXN_OPS, State
 from sandladder.model import SCHEMA_V1
 from sandladder.state.cache import StateCache
 
-# Room for the key and the braces around a value.
+# What of the limit on a value is left beside the key and the braces around the value.
 _VALUE_SHARE = 0.95
-# A job's record takes no more values than this, whatever a transaction holds.
+# How many conditions a transaction may have for each put or delete.
+_CONDITIONS_PER_OP = 4
+# A job's record takes no more values than this, whatever a transaction may hold.
 _MOST_PARTS = 3
-# What a task alone on its machine takes of its job's record, with holes in what is done:
-# written plainly, and folded.
-_ITEM_BYTES, _FOLDED_ITEM_BYTES = 32, 20
-# The share of a plain record that is for what is live; the rest is for the job itself.
+# What a task alone on its machine takes of its job's record, in bytes, with gaps between the tasks
+# that are done: as it is, and compressed.
+_TASK_BYTES, _COMPRESSED_TASK_BYTES = 32, 20
+# The shares of an uncompressed record for live attempts and for the job itself.
 _LIVE_SHARE, _SPEC_SHARE = 0.7, 0.28
-# The share of a folded record that is at least left for what is live.
-_LIVE_LEAST = 0.12
+# The share of a compressed record that is at least left for live attempts.
+_LEAST_LIVE_SHARE = 0.12
+# Every job may have this many live tasks.
+_LEAST_LIVE_TASKS = 8
+# Rejections shrink values by this factor, and not below this many bytes.
+_VALUE_DECREASE = 0.7
 _LEAST_VALUE_BYTES = 256.0
 
 
 class StoreLimits:
-    """The limits in force, as far as we can tell."""
+    """The limits in force, as far as they are known.
+
+    Attributes:
+        today: the limits that the settings name.
+        least: the smallest that may come into force without notice.
+    """
 
     def __init__(self, state: State, cache: StateCache) -> None:
         self.today = state
         self.least = state.least()
-        self._mirror = cache
-        self._txn_ops = float("inf")
-        self._value_bytes = float("inf")
+        self._cache = cache
+        self._largest_txn_ops = math.inf
+        self._largest_value_bytes = math.inf
+
+    @property
+    def _is_schema_v1(self) -> bool:
+        return self._cache.schema_version == SCHEMA_V1
 
     @property
-    def _base(self) -> State:
-        return self.today if self._mirror.schema_version == SCHEMA_V1 else self.least
+    def _configured(self) -> State:
+        return self.today if self._is_schema_v1 else self.least
 
     @property
     def txn_ops(self) -> int:
         """How many puts and deletes a transaction may hold."""
-        return int(min(self._base.txn_ops, self._txn_ops))
+        return int(min(self._configured.txn_ops, self._largest_txn_ops))
 
     @property
     def conditions(self) -> int:
-        return 4 * self.txn_ops
+        """How many expected versions a transaction may name."""
+        return _CONDITIONS_PER_OP * self.txn_ops
 
     @property
     def value_bytes(self) -> float:
-        """How long a value may be."""
-        return min(self._base.value_bytes * _VALUE_SHARE, self._value_bytes)
+        """How long a value may be, in bytes."""
+        return min(self._configured.value_bytes * _VALUE_SHARE, self._largest_value_bytes)
 
     @property
     def parts(self) -> int:
         """How many values a job's record may take: its end needs one change more."""
-        return (
-            1
-            if self._mirror.schema_version == SCHEMA_V1
-            else max(1, min(_MOST_PARTS, self.txn_ops - 1))
-        )
+        if self._is_schema_v1:
+            return 1
+        return max(1, min(_MOST_PARTS, self.txn_ops - 1))
 
     def spec_room(self) -> float:
-        """How long a job's record may be while nothing of it is live."""
-        if self._mirror.schema_version == SCHEMA_V1:
+        """How long a job's record may be while nothing of it is live, in bytes."""
+        if self._is_schema_v1:
             return self.today.value_bytes * _SPEC_SHARE
-        return self.parts * self.value_bytes * (1 - _LIVE_LEAST)
+        return self.parts * self.value_bytes * (1 - _LEAST_LIVE_SHARE)
 
     def most_live(self, spec_bytes: int = 512) -> int:
         """How many tasks of a job may be live such that its record stays within the limits."""
-        if self._mirror.schema_version == SCHEMA_V1:
-            return max(8, int(self.today.value_bytes * _LIVE_SHARE / _ITEM_BYTES))
-        room = self.parts * self.value_bytes - spec_bytes
-        return max(8, int(room / _FOLDED_ITEM_BYTES))
+        if self._is_schema_v1:
+            most = int(self.today.value_bytes * _LIVE_SHARE / _TASK_BYTES)
+        else:
+            free_bytes = self.parts * self.value_bytes - spec_bytes
+            most = int(free_bytes / _COMPRESSED_TASK_BYTES)
+        return max(_LEAST_LIVE_TASKS, most)
 
     def refused(self, changes: int, largest: int) -> bool:
-        """A transaction was too large; False when it cannot be made any smaller.
+        """Shrink the limits: the store rejected a transaction as too large.
+
+        What was rejected is not tried again as it is: fewer changes at a time first, then shorter
+        values.
+
+        Args:
+            changes: how many puts and deletes it had.
+            largest: the length of its longest value, in bytes.
 
-        What was refused is not tried again as it is: fewer changes at a time first, then
-        shorter values.
+        Returns:
+            False if a transaction cannot be made any smaller.
         """
         if changes > LEAST_TXN_OPS:
-            self._txn_ops = max(LEAST_TXN_OPS, changes // 2)
+            self._largest_txn_ops = max(LEAST_TXN_OPS, changes // 2)
             return True
-        smaller = min(largest, self.value_bytes) * 0.7
-        if self._mirror.schema_version == SCHEMA_V1 or smaller < _LEAST_VALUE_BYTES:
+        smaller = min(largest, self.value_bytes) * _VALUE_DECREASE
+        if self._is_schema_v1 or smaller < _LEAST_VALUE_BYTES:
             return False
-        self._value_bytes = smaller
+        self._largest_value_bytes = smaller
         return True
 
     def trust(self) -> None:
-        """Go back to the settings: what shrank the limits may be over."""
-        self._txn_ops = self._value_bytes = float("inf")
+        """Go back to the settings: the cause of the rejections may be over."""
+        self._largest_txn_ops = self._largest_value_bytes = math.inf
 
     @property
     def shrunk(self) -> bool:
-        return min(self._txn_ops, self._value_bytes) < float("inf")
+        """Whether a rejection made the limits smaller than the settings."""
+        return min(self._largest_txn_ops, self._largest_value_bytes) < math.inf
--- a/src/sandladder/state/transaction.py
+++ b/src/sandladder/state/transaction.py
@@ -9,49 +9,51 @@
 
 from sandladder.model import SCHEMA_V1, FinishedJob, Job, Machine, TeamUsage
 from sandladder.state.cache import StateCache
-from sandladder.state.records import (
-    FINAL,
-    JOB,
-    TEAM,
-    assignment_value,
-    extra_key,
-    finished_job_value,
-    job_value,
-    split_value,
-)
+from sandladder.state.codecs.jobs import finished_job_value, job_value
+from sandladder.state.codecs.split_values import split_value
+from sandladder.state.codecs.teams import assignment_value, usage_value
+from sandladder.state.entries import KeyChange, LeasedValue
+from sandladder.state.keys import FINAL, JOB, TEAM, continuation_key
 
 
 class Transaction:
-    """The records as one transaction would leave them, and the versions it relies on."""
+    """The records as one transaction would leave them, and the versions that it relies on.
+
+    Attributes:
+        cache: the records as they are.
+        value_bytes: how long a value may be, in bytes; longer records are split.
+        unsure: keys that a transaction without an answer relied on, at the version that it relied
+            on: nothing relies on them again before they have moved past it.
+        expected_versions: by key, the version at which it must be for the transaction to apply.
+    """
 
     def __init__(
         self,
         cache: StateCache,
         value_bytes: float = math.inf,
-        unsure: Mapping[str, int] | None = None,
+        in_doubt: Mapping[str, int] | None = None,
     ) -> None:
         self.cache = cache
         self.value_bytes = value_bytes
-        # Keys that a transaction without an answer relied on, at the version that it relied on:
-        # nothing relies on them again before they have moved past it.
-        self.unsure = unsure or {}
+        self.unsure = in_doubt or {}
         self.jobs: dict[str, Job | None] = {}
         self.teams: dict[str, TeamUsage] = {}
         self.used: dict[str, TeamUsage] = {}
         self.finished_jobs: dict[str, FinishedJob] = {}
-        self.others: dict[str, tuple[Any, int | None]] = {}
+        self.others: dict[str, LeasedValue] = {}
         self.instances: dict[str, Machine] | None = None
         self.expected_versions: dict[str, int] = {}
-        self._changed: dict[str, list[tuple[str, Any, int | None]]] = {}
+        # By the record's key, how it is written; records that changed since are not among these.
+        self._encoded: dict[str, list[KeyChange]] = {}
 
-    def fork(self) -> "Transaction":
-        """A view to try one more change on."""
+    def copy(self) -> "Transaction":
+        """A copy to try one more change on; the original stays as it is."""
         twin = Transaction(self.cache, self.value_bytes, self.unsure)
         twin.jobs = {job_id: job.copy() if job else None for job_id, job in self.jobs.items()}
         twin.teams, twin.used = dict(self.teams), dict(self.used)
         twin.finished_jobs, twin.others = dict(self.finished_jobs), dict(self.others)
         twin.instances, twin.expected_versions = self.instances, dict(self.expected_versions)
-        twin._changed = dict(self._changed)
+        twin._encoded = dict(self._encoded)
         return twin
 
     @property
@@ -59,9 +61,11 @@
         """Whether controllers of the version before may read what is written."""
         return self.cache.schema_version == SCHEMA_V1
 
+    # Jobs and teams
+
     def job(self, job_id: str) -> Job | None:
-        """A job for changing, or None when it is not live."""
-        self._changed.pop(JOB + job_id, None)
+        """A job for changing, or None if it is not live or cannot be read."""
+        self._encoded.pop(JOB + job_id, None)
         if job_id not in self.jobs:
             found = self.cache.jobs.get(job_id)
             if found is None or JOB + job_id in self.cache.unreadable:
@@ -72,108 +76,129 @@
 
     def create(self, job: Job) -> None:
         """Add a job that must exist neither live nor finished."""
-        self._changed.pop(JOB + job.id, None)
+        self._encoded.pop(JOB + job.id, None)
         self.jobs[job.id] = job
         self.expected_versions[JOB + job.id] = 0
         self.expected_versions[FINAL + job.id] = 0
 
+    def finish(self, job: Job, state: str, now: float) -> None:
+        """End a job without live attempts.
+
+        Where no older version reads it, the outcome takes the live job's place: one change instead
+        of two, and it is archived when there is time.
+
+        Args:
+            job: the job, as this transaction leaves it.
+            state: its outcome.
+            now: the time of day.
+        """
+        self._encoded.pop(JOB + job.id, None)
+        self.jobs[job.id] = None
+        self.finished_jobs[job.id] = FinishedJob(state, job.done.count, now)
+        self.expected_versions[FINAL + job.id] = 0
+
     def team(self, name: str) -> TeamUsage:
-        """A team's record in the first form, for changing."""
+        """A team's record in schema version 1, for changing."""
         if name not in self.teams:
             self.teams[name] = self.cache.teams.get(name, TeamUsage())
             self.expected_versions[TEAM + name] = self.cache.version(TEAM + name)
         return self.teams[name]
 
     def held(self, name: str) -> TeamUsage:
-        """What the live attempts of a team hold, with the changes made here."""
+        """What the live attempts of a team use, with the changes made here."""
         if self.is_schema_v1:
             return self.team(name)
         return self.used.get(name, self.cache.used.get(name, TeamUsage()))
 
     def change_usage(self, job: Job, tasks: int) -> None:
-        """Change what the job's team holds by so many tasks of it."""
+        """Change what the job's team uses by so many tasks of the job; fewer if negative."""
         name = job.spec.team
         if self.is_schema_v1:
             self.teams[name] = self.team(name).plus(job.spec, tasks)
         else:
-            # Its jobs tell what it holds; nothing is written of it.
+            # It follows from the records of the team's jobs; nothing is written of it.
             self.used[name] = self.held(name).plus(job.spec, tasks)
 
-    def finish(self, job: Job, state: str, now: float) -> None:
-        """End a job without live attempts.
-
-        Where no older version reads it, what it came to takes the job's place: one change
-        instead of two, and it is filed among the finished ones when there is time.
-        """
-        self._changed.pop(JOB + job.id, None)
-        self.jobs[job.id] = None
-        self.finished_jobs[job.id] = FinishedJob(state, job.done.count, now)
-        self.expected_versions[FINAL + job.id] = 0
+    # Other records
 
     def put(self, key: str, value: Any, version: int, lease: int | None = None) -> None:
-        self._changed.pop(key, None)
-        self.others[key] = (value, lease)
+        """Write a record, split if it is long; None: delete it.
+
+        Args:
+            key: the record's key.
+            value: the record.
+            version: at which it must be; 0: it must not exist.
+            lease: the lease that it is attached to.
+        """
+        self._encoded.pop(key, None)
+        self.others[key] = LeasedValue(value, lease)
         self.expected_versions[key] = version
 
     def write(self, key: str, value: Any, lease: int | None = None) -> None:
-        """Change one key as it stands."""
-        self.others[key] = (value, lease)
+        """Write one key as it stands in the cache, without splitting the value."""
+        self.others[key] = LeasedValue(value, lease)
         self.expected_versions[key] = self.cache.version(key)
-        self._changed[key] = [(key, value, lease)]
+        self._encoded[key] = [KeyChange(key, value, lease)]
+
+    # What it comes to
 
     @property
     def size(self) -> int:
         """How many puts and deletes this is."""
         return len(self.changes())
 
-    def _written(
-        self, key: str, value: Any, lease: int | None = None
-    ) -> list[tuple[str, Any, int | None]]:
-        """How a record is written: as it is, or folded over several keys."""
-        if key not in self._changed:
-            folds = not self.is_schema_v1 and value is not None
-            values = split_value(value, self.value_bytes) if folds else [value]
-            self._changed[key] = spread(self.cache, key, values, lease)
-        return self._changed[key]
-
-    def changes(self) -> list[tuple[str, Any, int | None]]:
-        """(key, value or None for a delete, lease) of everything changed."""
-        found: list[tuple[str, Any, int | None]] = []
-        schema_version = self.cache.schema_version
-        for job_id, job in self.jobs.items():
-            key = JOB + job_id
-            known = self._changed.get(key)
-            if known is None:
-                value: Any = job_value(job) if job else None
-                if job is None and not self.is_schema_v1:
-                    value = finished_job_value(self.finished_jobs[job_id], schema_version)
-                known = self._written(key, value)
-            found += known
-        found += [(TEAM + name, list(team), None) for name, team in self.teams.items()]
+    def changes(self) -> list[KeyChange]:
+        """The puts and deletes of everything changed."""
+        found: list[KeyChange] = []
+        for job_id in self.jobs:
+            found += self._job_changes(job_id)
+        found += [KeyChange(TEAM + name, usage_value(team)) for name, team in self.teams.items()]
         if self.is_schema_v1:
             found += [
-                (FINAL + job_id, finished_job_value(final, schema_version), None)
-                for job_id, final in self.finished_jobs.items()
+                KeyChange(FINAL + job_id, finished_job_value(finished, self.cache.schema_version))
+                for job_id, finished in self.finished_jobs.items()
             ]
         for key, (value, lease) in self.others.items():
-            found += self._written(key, value, lease)
+            found += self._record_changes(key, value, lease)
         return found
 
-
-def spread(
+    def _job_changes(self, job_id: str) -> list[KeyChange]:
+        key = JOB + job_id
+        encoded = self._encoded.get(key)
+        if encoded is not None:
+            return encoded
+        job = self.jobs[job_id]
+        value: Any = job_value(job) if job else None
+        if job is None and not self.is_schema_v1:
+            value = finished_job_value(self.finished_jobs[job_id], self.cache.schema_version)
+        return self._record_changes(key, value)
+
+    def _record_changes(self, key: str, value: Any, lease: int | None = None) -> list[KeyChange]:
+        """How a record is written: as it is, or split over several keys."""
+        if key not in self._encoded:
+            may_split = not self.is_schema_v1 and value is not None
+            values = split_value(value, self.value_bytes) if may_split else [value]
+            self._encoded[key] = part_changes(self.cache, key, values, lease)
+        return self._encoded[key]
+
+
+def part_changes(
     cache: StateCache, key: str, values: list[Any], lease: int | None = None
-) -> list[tuple[str, Any, int | None]]:
-    """A record's values under its keys, and the deletion of parts that it no longer has."""
-    keys = [key, *(extra_key(key, index) for index in range(1, len(values)))]
-    found: list[tuple[str, Any, int | None]] = [
-        (name, value, lease if value is not None else None)
+) -> list[KeyChange]:
+    """The puts of a record's values, and the deletion of parts that it no longer has."""
+    keys = [key, *(continuation_key(key, index) for index in range(1, len(values)))]
+    puts = [
+        KeyChange(name, value, lease if value is not None else None)
         for name, value in zip(keys, values, strict=True)
     ]
-    return found + [(name, None, None) for name in cache.extras(key) if name not in keys]
+    return puts + [KeyChange(name, None) for name in cache.extras(key) if name not in keys]
 
 
 def fence_assignment(transaction: Transaction, key: str) -> bool:
-    """Move a team's record as it stands, so that a start bound to it cannot arrive any more."""
+    """Write a team's assignment as it is, so that a start bound to its version cannot arrive.
+
+    False if nothing is in doubt about it any more.
+    """
     version = transaction.cache.version(key)
     assignment = transaction.cache.assignments.get(key[len(TEAM) :])
     if transaction.unsure.get(key) != version or assignment is None:
--- a/src/sandladder/state/watch.py
+++ b/src/sandladder/state/watch.py
@@ -2,7 +2,6 @@
 
 import logging
 from collections.abc import Callable
-from typing import Any
 
 import anyio
 
@@ -10,58 +9,89 @@
 from sandladder.concurrency import Signal
 from sandladder.protocol import wire
 from sandladder.state.cache import StateCache
+from sandladder.state.entries import StoredEntry
 from sandladder.state.errors import StoreRequestError
-from sandladder.state.records import PREFIXES
+from sandladder.state.keys import STARTUP_PREFIXES
 from sandladder.state.store_client import StoreClient
 
 log = logging.getLogger(__name__)
 
+# The shares of this controller's part of the request rate that reads may take: on demand half of
+# it, idle ones a sixth.
+_DEMAND_RATE_SHARE = 0.5
+_IDLE_RATE_DIVISOR = 6
+# And reads are no more frequent than a person would notice, in parts of the heartbeat interval:
+# each costs the controller as much as an agent's heartbeat.
+_DEMAND_READS_PER_HEARTBEAT, _IDLE_READS_PER_HEARTBEAT = 32, 16
+
 
 class StoreWatch:
-    """Keeps the mirror current, and tells when it is as new as a moment that just passed."""
+    """Reads the store's log into the cache, again and again.
+
+    Attributes:
+        loaded: whether the cache has held all records at some time.
+    """
 
     def __init__(
         self,
-        state: StoreClient,
+        store: StoreClient,
         cache: StateCache,
-        nodes: int,
+        controller_count: int,
         on_change: Callable[[dict[str, None]], None],
         on_synced: Callable[[float], None],
-        report_s: float,
+        agent_heartbeat_s: float,
     ) -> None:
-        self._store = state
-        self._mirror = cache
+        """Prepare the watch; `run` reads.
+
+        Args:
+            store: the client to read with.
+            cache: where the changes go.
+            controller_count: how many controllers share the rate limits.
+            on_change: called with the keys that a read changed.
+            on_synced: called after a read with the time at which it was sent, on the steady clock:
+                the cache holds everything committed before.
+            agent_heartbeat_s: the interval of the agents' heartbeats, in seconds.
+        """
+        self._store = store
+        self._cache = cache
         self._on_change = on_change
         self._on_synced = on_synced
-        share = state.limits.rps / nodes
-        # On demand readings may take half of our share, idle ones a sixth, and no more than
-        # a person would notice: each costs us as much as a worker's report.
-        self._spacing_s = max(1 / (0.5 * share), report_s / 32)
-        self._idle_s = max(6 / share, report_s / 16)
+        rate = store.limits.rps / controller_count
+        self._spacing_s = max(
+            1 / (_DEMAND_RATE_SHARE * rate), agent_heartbeat_s / _DEMAND_READS_PER_HEARTBEAT
+        )
+        self._idle_s = max(_IDLE_RATE_DIVISOR / rate, agent_heartbeat_s / _IDLE_READS_PER_HEARTBEAT)
         self._demand = Signal()
         self._waiting: list[anyio.Event] = []
         self.loaded = False
 
     async def barrier(self) -> None:
-        """Return once the mirror holds everything committed before this call."""
+        """Wait until the cache holds everything committed before this call.
+
+        While the store does not answer this waits on; cancelling it has no effect on others.
+        """
         event = anyio.Event()
         self._waiting.append(event)
         self._demand.set()
         await event.wait()
 
     def wake(self) -> None:
-        """There is news, or soon will be."""
+        """Read soon: something was committed, or is about to be."""
         self._demand.set()
 
     async def run(self) -> None:
-        """Read the changes again and again until cancelled."""
+        """Read the changes again and again until cancelled.
+
+        Raises:
+            UnknownSchemaVersionError: this program does not support the records.
+        """
         while True:
             sent = clock.now()
             waiting, self._waiting = self._waiting, []
             try:
-                await self._advance()
+                await self._read_changes()
             except (StoreRequestError, wire.MalformedMessageError) as error:
-                log.debug("reading the state service failed: %s", error)
+                log.debug("reading the store failed: %s", error)
                 self._waiting = waiting + self._waiting
                 await anyio.sleep(self._spacing_s * 2)
                 continue
@@ -73,28 +103,29 @@
             if not self._waiting:
                 await self._demand.wait(self._idle_s)
 
-    async def _advance(self) -> None:
-        found = await self._store.follow(self._mirror.revision) if self.loaded else None
-        read: dict[str, None] = {}
-        if found is None:
-            read = await self._load()
-            found = await self._store.follow(self._mirror.revision)
-            if found is None:
-                raise StoreRequestError("the log moved on while it was read")
-        # Nobody acts on what was read before the changes made meanwhile are in: records of
-        # several parts may not fit together until then.
-        changed = read | self._mirror.apply(*found)
+    async def _read_changes(self) -> None:
+        changes = await self._store.follow(self._cache.revision) if self.loaded else None
+        changed: dict[str, None] = {}
+        if changes is None:
+            changed = await self._load()
+            changes = await self._store.follow(self._cache.revision)
+            if changes is None:
+                raise StoreRequestError("the store's log moved on while the records were read")
+        # Nobody acts on what was read before the changes made meanwhile are in: the parts of
+        # records that are split may not match until then.
+        changed = changed | self._cache.apply(changes.revision, changes.entries)
         self.loaded = True
         if changed:
             self._on_change(changed)
 
     async def _load(self) -> dict[str, None]:
-        items: list[tuple[str, Any, int]] = []
+        """Read all records; the keys that changed."""
+        entries: list[StoredEntry] = []
         revisions = []
-        for prefix in PREFIXES:
-            revision, found = await self._store.read_all(prefix)
-            revisions.append(revision)
-            items += found
-        changed = self._mirror.reset(min(revisions), items)
-        log.info("read %d records as of revision %d", len(items), min(revisions))
+        for prefix in STARTUP_PREFIXES:
+            found = await self._store.read_all(prefix)
+            revisions.append(found.revision)
+            entries += found.entries
+        changed = self._cache.reset(min(revisions), entries)
+        log.info("read %d records as of revision %d", len(entries), min(revisions))
         return changed
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -8,7 +8,7 @@
 
 from days import warm
 from meeting import CANCEL_S, day, leader, play, restart, running, settle, up
-from sandladder.state import cache as mirror_module
+from sandladder.state.cache import job_tables as mirror_module
 from world import ZONES, World, job, now
 
 # The largest jobs of a class have to begin within so long.
