--- a/src/sandladder/agents/reporting_agents.py
+++ b/src/sandladder/agents/reporting_agents.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Callable
 
-from sandladder.agents.lease_expiry import LeaseExpiryProof
 from sandladder.agents.agent_session import AgentSession
+from sandladder.agents.lease_expiry import LeaseExpiryProof
 from sandladder.agents.reconciler import Reconciler
 from sandladder.membership import AgentInventory
 from sandladder.model import MachineStatus
--- a/src/sandladder/controller/controller.py
+++ b/src/sandladder/controller/controller.py
@@ -2,36 +2,59 @@
 
 import logging
 import time
-from collections.abc import Awaitable, Callable
+from collections.abc import Awaitable, Callable, Iterable
 from random import Random
 
 import anyio
 from anyio.abc import TaskGroup
 
 from sandladder import clock
-from sandladder.agents import AgentService, LeaseExpiryProof, LeaseRenewalGuard, Reconciler
-from sandladder.api import JobApi
-from sandladder.autoscaling import Autoscaler, CloudClient
+from sandladder.agents import (
+    AgentRecords,
+    AgentService,
+    ControllerGroup,
+    LeaseExpiryProof,
+    LeaseRenewalGuard,
+    Reconciler,
+    ReportingAgents,
+    SchedulerCallbacks,
+    StoreAccess,
+)
+from sandladder.api import (
+    CancellationService,
+    DependencyCheck,
+    HealthCheck,
+    JobApi,
+    JobLookup,
+    JobRouter,
+    RequestForwarder,
+    SubmissionService,
+)
+from sandladder.autoscaling import Autoscaler, CloudClient, ControllerStatus
 from sandladder.concurrency import BackgroundTasks
 from sandladder.config import Settings, split_addr
 from sandladder.controller.change_handler import ChangeHandler
 from sandladder.controller.planning_loop import PlanningLoop, PlanningTriggers
 from sandladder.controller.statistics import StatisticsLog
-from sandladder.jobs import DependencyResolver, JobCommitter
+from sandladder.jobs import DependencyResolver, DependentCanceller, JobArchiver, JobCommitter
 from sandladder.membership import (
     ControllerLease,
     FailureDetector,
+    InventoryWriter,
     MembershipPolicy,
     MembershipService,
 )
-from sandladder.peers import PeerService
-from sandladder.protocol import wire
-from sandladder.scheduling import (
-    ClusterView,
-    Gate,
-    Planner,
-    PreemptionPolicy,
+from sandladder.model import EndedAttempt
+from sandladder.peers import (
+    HeartbeatExchange,
+    LocalStatus,
+    PeerEvents,
+    PeerService,
+    TeamDirectory,
+    WriteRateShare,
 )
+from sandladder.protocol import wire
+from sandladder.scheduling import ClusterView, Gate, Planner, PreemptionPolicy
 from sandladder.state import (
     GroupCommitter,
     SchemaMigration,
@@ -40,13 +63,43 @@
     StoreLimits,
     StoreWatch,
 )
-from sandladder.transport import Client, Connect, Server, peer_transport
+from sandladder.transport import (
+    Client,
+    Connect,
+    MachineUpdate,
+    Request,
+    Response,
+    Server,
+    peer_transport,
+)
 
 log = logging.getLogger(__name__)
 
+# Times as shares or multiples of the agents' lease (a request to the store that takes longer than
+# the first is given up; limits that were found too large are tried again after the second).
+_STORE_TIMEOUT_LEASES = 1 / 8
+_TRUST_LEASES = 8
+_CLOUD_TIMEOUT_LEASES = 1 / 3
+_STATISTICS_LEASES = 5
+_IDLE_CONNECTION_LEASES = 20
+# Heartbeats between controllers in each of the agents' report intervals.
+_HEARTBEATS_PER_REPORT = 6
+# A connection of a peer that has been silent for so many of its heartbeats is closed; each peer may
+# have so many connections.
+_SILENT_HEARTBEATS = 20
+_CONNECTIONS_PER_PEER = 8
+# The share of the sockets that is for incoming connections: the store and the agents need theirs.
+_INCOMING_SOCKETS = 0.8
+# Connections that are kept open to the store and to the cloud.
+_STORE_CONNECTIONS, _CLOUD_CONNECTIONS = 6, 2
+
 
 class Controller:
-    """One controller node."""
+    """One controller node: constructs the services and starts them.
+
+    Whatever is decided or remembered is theirs.  What a service needs of one that lies above it is
+    handed to it here as a callback.
+    """
 
     def __init__(
         self,
@@ -55,46 +108,53 @@
         connect: Connect = Client,
         wall: Callable[[], float] = time.time,
     ) -> None:
-        deployment = settings.platform.deployment
-        self.settings = settings
+        """Make the services; nothing is sent before `run`.
+
+        Args:
+            settings: both settings files, as read at the start of the process.
+            rng: the source of all random numbers.
+            connect: makes HTTP clients; tests put their own network here.
+            wall: the time of day, in seconds.
+        """
         for kind in settings.unknown_aims:
-            log.info("aims of the kind %s are not known and ignored", kind)
+            log.info("objectives of the kind %s are not known and ignored", kind)
+        self.settings = settings
         self.node = settings.node
         self.nodes = settings.node_names
         self.rng = rng
         self.connect = connect
-        self.wall = wall  # the time of day
+        self.wall = wall
         self.process = rng.getrandbits(40)  # tells it from another under the same name
-        workers = deployment.workers
+        workers = settings.platform.deployment.workers
         self.report_s, self.lease_s = workers.report_s, workers.lease_s
-        # A request to the state service that takes this long is given up.
-        self.store_timeout_s = self.lease_s / 8
-        self.heartbeat_interval_s = self.report_s / 6
+        self.heartbeat_interval_s = self.report_s / _HEARTBEATS_PER_REPORT
+        self.teams = [team.name for team in settings.platform.deployment.teams]
+        self.other_nodes = [name for name in self.nodes if name != self.node]
+        self.background = BackgroundTasks()
+        self.triggers = PlanningTriggers()
+        self.tasks: TaskGroup | None = None
+        self._make_state()
+        self._make_scheduling()
+        self._make_membership()
+        self._make_peers()
+        self._make_agent_service()
+        self._make_jobs()
+        self._make_autoscaling()
+        self._make_job_api()
+        self._make_controller_services()
 
-        self.cache = StateCache()
-        self.reconciler = Reconciler()
-        self.lease_expiry = LeaseExpiryProof(
-            self.node, self.nodes, self.lease_s, clock.now(), self.process
-        )
-        peers = [name for name in self.nodes if name != self.node]
-        self.renewal_guard = LeaseRenewalGuard(self.node, peers, self.process, workers)
-        self.limits = StoreLimits(deployment.state, self.cache)
-        self.gate = Gate()
-        self.cluster_view = ClusterView(
-            settings, self.cache, self.reconciler, self.lease_expiry, self.gate
-        )
-        self.planner = Planner(self.cluster_view, self.limits, rng)
-        self.preemption = PreemptionPolicy(self.cluster_view, self.planner.selector)
-        self.controller_lease = ControllerLease(self)
-        self.peers = PeerService(self)
-        self.agent_service = AgentService(self)
-        self.job_api = JobApi(self)
-        self.job_committer = JobCommitter(self)
-        self.dependency_resolver = DependencyResolver(self)
-        host, port = split_addr(settings.platform.external.state)
+    # Construction, from the lowest package up
+
+    def _make_state(self) -> None:
+        deployment = self.settings.platform.deployment
+        host, port = split_addr(self.settings.platform.external.state)
         self.store = StoreClient(
-            connect(host, port, keep=6), deployment.state, self.store_timeout_s
+            self.connect(host, port, keep=_STORE_CONNECTIONS),
+            deployment.state,
+            self.lease_s * _STORE_TIMEOUT_LEASES,
         )
+        self.cache = StateCache()
+        self.limits = StoreLimits(deployment.state, self.cache)
         self.watch = StoreWatch(
             self.store,
             self.cache,
@@ -107,12 +167,120 @@
             self.store,
             self.cache,
             self.watch,
-            rng,
+            self.rng,
             self._records_changed,
             self.limits,
-            trust_s=8 * self.lease_s,
+            trust_s=_TRUST_LEASES * self.lease_s,
             patience_s=self.report_s,
         )
+
+    def _make_scheduling(self) -> None:
+        """What agents report, what it proves, and what is decided on it."""
+        workers = self.settings.platform.deployment.workers
+        self.reconciler = Reconciler()
+        self.lease_expiry = LeaseExpiryProof(
+            self.node, self.nodes, self.lease_s, clock.now(), self.process
+        )
+        self.renewal_guard = LeaseRenewalGuard(self.node, self.other_nodes, self.process, workers)
+        self.gate = Gate()
+        self.cluster_view = ClusterView(
+            self.settings, self.cache, self.reconciler, self.lease_expiry, self.gate
+        )
+        self.planner = Planner(self.cluster_view, self.limits, self.rng)
+        self.preemption = PreemptionPolicy(self.cluster_view, self.planner.selector)
+
+    def _make_membership(self) -> None:
+        """The controller's own lease, and its part in membership and failover."""
+        platform = self.settings.platform
+        inventory = ReportingAgents(
+            self.lease_expiry,
+            self.reconciler,
+            self.cluster_view.images.names,
+            self._advance_time,
+        )
+        self.controller_lease = ControllerLease(
+            node=self.node,
+            process=self.process,
+            ttl_s=self.settings.operator.hold_leases * self.lease_s,
+            report_s=self.report_s,
+            inventory_interval_s=self.cluster_view.inventory_interval_s,
+            cache=self.cache,
+            store=self.store,
+            watch=self.watch,
+            committer=self.committer,
+            inventory=InventoryWriter(
+                self.node,
+                self.process,
+                self.cache,
+                self.committer,
+                self.limits,
+                self._fencing_token,
+                inventory.inventory,
+            ),
+            fencing_token=self._fencing_token,
+            on_fencing_token=self.reconciler.new_term,
+            on_acquired=self._lease_acquired,
+        )
+        detector = FailureDetector(
+            self.node,
+            self.other_nodes,
+            self.heartbeat_interval_s,
+            self.report_s,
+            self.cluster_view.inventory_interval_s,
+        )
+        zones = {peer.node_name: peer.location for peer in platform.peers}
+        self.membership = MembershipService(
+            policy=MembershipPolicy(detector, self.nodes, self.teams, self.cache),
+            zones=zones | {self.node: platform.location},
+            cache=self.cache,
+            committer=self.committer,
+            limits=self.limits,
+            lease=self.controller_lease,
+            store_reachable=self.store_reachable,
+            wall=self.wall,
+            on_teams_moved=self._assignments_changed,
+            on_unready_changed=self.cluster_view.doubt_controllers,
+        )
+
+    def _make_peers(self) -> None:
+        status = LocalStatus(
+            fencing_token=self._fencing_token,
+            store_reachable=self.store_reachable,
+            agents=self._reporting_agents,
+            acknowledged=lambda: self.renewal_guard.echoes,
+        )
+        heartbeats = HeartbeatExchange(
+            node=self.node,
+            process=self.process,
+            peers=self.other_nodes,
+            interval_s=self.heartbeat_interval_s,
+            cache=self.cache,
+            lease=self.controller_lease,
+            membership=self.membership,
+            write_rate=WriteRateShare(self.cache, self.committer, self.limits, self.store),
+            status=status,
+            on_clock_exchange=self.renewal_guard.heard,
+            on_cancelled_jobs=self._jobs_cancelled,
+        )
+        self.peers = PeerService(
+            node=self.node,
+            process=self.process,
+            peers=self.settings.platform.peers,
+            heartbeat_interval_s=self.heartbeat_interval_s,
+            response_timeout_s=self.report_s / 2,
+            rng=self.rng,
+            cache=self.cache,
+            watch=self.watch,
+            membership=self.membership,
+            teams=TeamDirectory(self.node, self.nodes, self.teams, self.cache, self.membership),
+            heartbeats=heartbeats,
+            background=self.background,
+            events=PeerEvents(
+                on_machine_update=self._machine_updated,
+                on_ended_attempt=self._peer_proved_end,
+                serve_request=self._serve_forwarded,
+            ),
+        )
         self.schema_migration = SchemaMigration(
             self.node,
             self.nodes,
@@ -124,36 +292,127 @@
             self.controller_lease.alive,
             self.report_s,
         )
-        host, port = split_addr(settings.platform.external.cloud)
-        self.cloud = CloudClient(
-            connect(host, port, keep=2), self.lease_s / 3, deployment.cloud.rps
+
+    def _make_agent_service(self) -> None:
+        self.agent_service = AgentService(
+            self.settings.platform.deployment.workers,
+            self.connect,
+            self.background,
+            AgentRecords(self.reconciler, self.lease_expiry, self.renewal_guard),
+            StoreAccess(self.cache, self.watch, self.store_reachable),
+            ControllerGroup(self.node, self.controller_lease, self.membership, self.peers),
+            SchedulerCallbacks(
+                cluster=self.cluster_view,
+                advance_time=self._advance_time,
+                record_ended_attempts=self._ends_proved,
+                commit_due_ends=self._commit_due_ends,
+                avoided_machines=self.planner.avoid,
+                request_planning=self.triggers.due.set,
+            ),
         )
-        self.autoscaler = Autoscaler(self)
-        detector = FailureDetector(
+
+    def _make_jobs(self) -> None:
+        workers = self.settings.platform.deployment.workers
+        archiver = JobArchiver(
             self.node,
-            peers,
-            self.heartbeat_interval_s,
-            self.report_s,
-            self.cluster_view.inventory_interval_s,
+            self.cache,
+            self.store,
+            self.committer,
+            self.limits,
+            self.controller_lease,
+            self.peers,
         )
-        teams = [team.name for team in deployment.teams]
-        self.membership = MembershipService(
-            MembershipPolicy(detector, self.nodes, teams, self.cache),
-            {p.node_name: p.location for p in settings.platform.peers}
-            | {self.node: settings.platform.location},
+        self.job_committer = JobCommitter(
+            workers,
+            self.planner,
+            self.committer,
+            self.controller_lease,
+            self.membership,
+            self.peers,
+            self.agent_service,
+            archiver,
+            self.background,
+            self.triggers.due,
+            self.wall,
+        )
+        canceller = DependentCanceller(
+            self.node,
+            workers,
             self.cache,
             self.committer,
+            self.peers,
+            self.background,
+            self.wall,
+        )
+        self.dependency_resolver = DependencyResolver(
+            workers,
+            self.store,
+            self.cache,
+            self.watch,
             self.controller_lease,
-            self.store_reachable,
+            canceller,
+            self.triggers.due,
+        )
+
+    def _make_autoscaling(self) -> None:
+        host, port = split_addr(self.settings.platform.external.cloud)
+        self.cloud = CloudClient(
+            self.connect(host, port, keep=_CLOUD_CONNECTIONS),
+            self.lease_s * _CLOUD_TIMEOUT_LEASES,
+            self.settings.platform.deployment.cloud.rps,
+        )
+        self.autoscaler = Autoscaler(
+            self.cluster_view,
+            self.store,
+            self.committer,
             self.limits,
-            wall,
-            self._assignment_moved,
-            self.cluster_view.doubt_controllers,
+            self.cloud,
+            self.connect,
+            ControllerStatus(
+                records_loaded=lambda: self.watch.loaded,
+                lease_alive=self.controller_lease.alive,
+                isolated=self.agent_service.deaf,
+                uptime_s=self.lease_expiry.up_s,
+                fencing_token=self._fencing_token,
+                wall=self.wall,
+            ),
         )
-        self.triggers = PlanningTriggers()
-        self.plan_due = self.triggers.due
-        self.background = BackgroundTasks()
-        self.tasks: TaskGroup | None = None
+
+    def _make_job_api(self) -> None:
+        read_timeout_s, commit_timeout_s = self.report_s / 2, self.report_s
+        lookup = JobLookup(self.cache, self.watch, self.dependency_resolver, read_timeout_s)
+        submissions = SubmissionService(
+            lookup=lookup,
+            dependency_check=DependencyCheck(
+                lookup, self.watch, self.dependency_resolver, read_timeout_s
+            ),
+            cache=self.cache,
+            committer=self.committer,
+            limits=self.limits,
+            team_limits=self.cluster_view.limits,
+            peers=self.peers,
+            store_reachable=self.store_reachable,
+            wall=self.wall,
+            timeout_s=commit_timeout_s,
+        )
+        cancellations = CancellationService(
+            lookup=lookup,
+            cache=self.cache,
+            cluster_view=self.cluster_view,
+            committer=self.committer,
+            peers=self.peers,
+            wall=self.wall,
+            timeout_s=commit_timeout_s,
+        )
+        self.job_api = JobApi(
+            JobRouter(lookup, submissions, cancellations),
+            RequestForwarder(self.peers, self.store, self.store_reachable, self.report_s),
+            HealthCheck(self.cache, self.watch, self.peers, self.store_reachable),
+            self.agent_service.report,
+        )
+
+    def _make_controller_services(self) -> None:
+        """Planning, the reaction to changed records, statistics."""
         self.change_handler = ChangeHandler(
             triggers=self.triggers,
             cache=self.cache,
@@ -169,7 +428,7 @@
         )
         self.planning_loop = PlanningLoop(
             triggers=self.triggers,
-            teams=teams,
+            teams=self.teams,
             report_s=self.report_s,
             cache=self.cache,
             watch=self.watch,
@@ -181,17 +440,21 @@
             preemption=self.preemption,
             job_committer=self.job_committer,
             background=self.background,
-            wall=wall,
+            wall=self.wall,
+        )
+        self.statistics = StatisticsLog(
+            self.gate, self.committer, _STATISTICS_LEASES * self.lease_s
         )
-        self.statistics = StatisticsLog(self.gate, self.committer, 5 * self.lease_s)
+
+    # Running
 
     async def run(self) -> None:
-        """Serve until cancelled."""
+        """Serve until cancelled; a service that fails unexpectedly is started again alone."""
         async with anyio.create_task_group() as tasks:
             self.tasks = tasks
             self.background.open(tasks)
             self._listen(tasks)
-            for duty in (
+            for service in (
                 self.watch.run,
                 self.committer.run,
                 self.controller_lease.run,
@@ -204,50 +467,64 @@
                 self.statistics.run,
                 self.autoscaler.run,
             ):
-                tasks.start_soon(self._duty, duty)
+                tasks.start_soon(self._supervise, service)
 
     async def leave(self) -> None:
-        """End in order: hand over what is placed here, tell the others, and stop serving."""
+        """End in order: hand the teams over, announce that, and stop serving."""
         await self.membership.leave(self.report_s)
-        for link in self.peers.connections.values():
-            link.flush()
+        for connection in self.peers.connections.values():
+            connection.flush()
         await anyio.sleep(self.heartbeat_interval_s / 6)
         if self.tasks is not None:
             self.tasks.cancel_scope.cancel()
 
     def _listen(self, tasks: TaskGroup) -> None:
-        """Start serving users, workers and peers."""
+        """Start serving users, agents and peers."""
         platform = self.settings.platform
         host, port = split_addr(platform.api_addr)
         server = Server(
             self.job_api.handle,
             body_limit=wire.BODY_LIMIT,
-            idle_s=20 * self.lease_s,
+            idle_s=_IDLE_CONNECTION_LEASES * self.lease_s,
             read_s=self.report_s,
-            most=int(platform.deployment.quota.max_sockets * 0.8),
+            most=int(platform.deployment.quota.max_sockets * _INCOMING_SOCKETS),
         )
         tasks.start_soon(server.serve, host, port)
         tasks.start_soon(
             peer_transport.serve,
             platform.mesh_addr,
-            8 * len(self.nodes),
-            20 * self.heartbeat_interval_s,
+            _CONNECTIONS_PER_PEER * len(self.nodes),
+            _SILENT_HEARTBEATS * self.heartbeat_interval_s,
             self.peers.handle,
         )
-        for link in self.peers.connections.values():
-            tasks.start_soon(link.run, self.peers.heartbeat)
+        for connection in self.peers.connections.values():
+            tasks.start_soon(connection.run, self.peers.heartbeat)
 
-    async def _duty(self, duty: Callable[[], Awaitable[None]]) -> None:
-        """Run a duty; one that fails unexpectedly is logged and started again alone."""
+    async def _supervise(self, service: Callable[[], Awaitable[None]]) -> None:
+        """Run a service; one that fails unexpectedly is logged and started again alone."""
         while True:
             try:
-                await duty()
+                await service()
             except Exception:
-                self._duty_failed(getattr(duty, "__qualname__", str(duty)))
+                self._duty_failed(getattr(service, "__qualname__", str(service)))
             await anyio.sleep(self.report_s / 3)
 
     def _duty_failed(self, name: str) -> None:
-        log.exception("a duty failed: %s", name)
+        log.exception("the service %s failed and is started again", name)
+
+    # What services are handed of those above them
+
+    def store_reachable(self) -> bool:
+        """Whether the store has answered this controller of late."""
+        return clock.now() - self.store.ok_at < self.report_s / 2
+
+    def _fencing_token(self) -> int:
+        return self.reconciler.term
+
+    def _advance_time(self) -> float:
+        """Have the cluster view answer as of now; that moment, in seconds on the steady clock."""
+        now = self.cluster_view.now = clock.now()
+        return now
 
     def _records_changed(self, keys: dict[str, None]) -> None:
         self.change_handler.records_changed(keys)
@@ -255,10 +532,36 @@
     def _read_completed(self, sent: float) -> None:
         self.change_handler.read_completed(sent)
 
-    def _assignment_moved(self) -> None:
+    def _lease_acquired(self, fencing_token: int) -> None:
+        self.membership.lease_acquired(fencing_token)
+
+    def _assignments_changed(self) -> None:
         """A team was assigned to us or to another: see it in the records, and plan."""
         self.watch.wake()
         self.triggers.due.set()
 
-    def store_reachable(self) -> bool:
-        return clock.now() - self.store.ok_at < self.report_s / 2
+    def _reporting_agents(self, now: float) -> int | None:
+        """How many agents report here; None: none reaches this controller, so it takes none."""
+        return None if self.agent_service.deaf(now) else self.agent_service.count
+
+    def _jobs_cancelled(self, job_ids: list[str]) -> None:
+        self.agent_service.stop_cancelled(job_ids)
+
+    def _machine_updated(self, update: MachineUpdate) -> None:
+        """A peer observed that a machine came or changed."""
+        self._advance_time()
+        self.cluster_view.tell(update.node, update.machine, update.seen)
+        self.triggers.due.set()
+
+    def _ends_proved(self, ends: Iterable[EndedAttempt]) -> None:
+        self.job_committer.collect(ends)
+
+    def _peer_proved_end(self, ended: EndedAttempt) -> None:
+        self.job_committer.told(ended)
+
+    def _commit_due_ends(self) -> None:
+        self.job_committer.sweep()
+
+    async def _serve_forwarded(self, request: Request) -> Response:
+        """Serve a request that a peer forwarded; whatever goes wrong becomes a response."""
+        return await self.job_api.serve_locally(request)
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -75,8 +75,6 @@
             assert usable == {m: r for m, r in fresh.items() if r and r.usable and r.cpus >= 0.5}
 
 
-
-
 def test_rounds_of_planning_for_work_that_is_not_urgent_are_few() -> None:
     """Rounds and readings are counted: work that cannot start must not cost a round each time."""
     counted: dict[str, Counter[str]] = {}
