--- /dev/null
+++ b/tests/test_dependency_services.py
@@ -0,0 +1,137 @@
+"""How the outcomes of dependencies are read, and who cancels the dependents of cancelled jobs."""
+
+from typing import Any
+
+import anyio
+import pytest
+
+from helpers import accept, commit, spec
+from sandladder import clock
+from sandladder.concurrency import BackgroundTasks, Signal
+from sandladder.config import WorkerSettings
+from sandladder.jobs import (
+    DependencyResolver,
+    DependentCanceller,
+    SubmittedDependencies,
+    cancel,
+    submit,
+)
+from sandladder.model import SCHEMA_V2, FinishedJob
+from sandladder.state import (
+    PendingChange,
+    StateCache,
+    StoreRequestError,
+    Transaction,
+    finished_job_value,
+)
+
+WORKERS = WorkerSettings(report_s=3.0, lease_s=12.0, cancel_s=40.0)
+FIRST, DEPENDENT = "job-000001", "job-000002"
+
+
+def cache_with_dependent() -> StateCache:
+    """The records of two live jobs, of which one depends on the other."""
+    cache = StateCache()
+    cache.schema_version = SCHEMA_V2
+    accept(cache, number=1)
+    transaction = Transaction(cache)
+    submit(transaction, spec(2), 0.0, SubmittedDependencies((FIRST,)))
+    commit(cache, transaction)
+    return cache
+
+
+class Committer:
+    """Commits each change at once."""
+
+    def __init__(self, cache: StateCache) -> None:
+        self.cache = cache
+        self.names: list[str] = []
+
+    def add(self, change: PendingChange) -> PendingChange:
+        self.names.append(change.name)
+        transaction = Transaction(self.cache)
+        assert change.apply(transaction)
+        commit(self.cache, transaction)
+        change.settle()
+        return change
+
+
+class Peers:
+    """Every team is assigned to node-0."""
+
+    def assignee(self, team: str) -> str:
+        return "node-0"
+
+
+class Store:
+    """Keeps records of finished jobs, and counts the readings."""
+
+    def __init__(self) -> None:
+        self.records: dict[str, tuple[Any, int]] = {}
+        self.failing = False
+        self.read: list[str] = []
+
+    async def get(self, key: str) -> tuple[Any, int] | None:
+        self.read.append(key)
+        await anyio.sleep(0)
+        if self.failing:
+            raise StoreRequestError("no answer")
+        return self.records.get(key)
+
+
+def resolver_of(store: Store, cache: StateCache) -> DependencyResolver:
+    """A resolver whose routine does not run, so that what only that uses is left out."""
+    unused: Any = None
+    return DependencyResolver(WORKERS, store, cache, unused, unused, unused, Signal())
+
+
+@pytest.mark.parametrize(("node", "wait_s"), [("node-0", 0.0), ("node-1", 40.0 / 8)])
+def test_dependents_are_cancelled_by_the_assignee_at_once_and_by_others_when_it_is_late(
+    monkeypatch: pytest.MonkeyPatch, node: str, wait_s: float
+) -> None:
+    times = [100.0]
+    monkeypatch.setattr(clock, "now", lambda: times[0])
+    cache = cache_with_dependent()
+    transaction = Transaction(cache)
+    cancel(transaction, FIRST, 5.0)
+    commit(cache, transaction)
+    committer, background = Committer(cache), BackgroundTasks()
+    canceller = DependentCanceller(
+        node, WORKERS, cache, committer, Peers(), background, lambda: 6.0
+    )
+
+    async def cancel_at(now: float) -> None:
+        times[0] = now
+        async with anyio.create_task_group() as tasks:
+            background.open(tasks)
+            canceller.cancel_dependents()
+
+    anyio.run(cancel_at, 100.0)
+    if wait_s:
+        anyio.run(cancel_at, 100.0 + wait_s)
+        assert committer.names == []
+        anyio.run(cancel_at, 100.1 + wait_s)
+    assert committer.names == [f"cancel {DEPENDENT}"]
+    assert cache.finished_jobs[DEPENDENT] == FinishedJob("cancelled", 0, 6.0, 4, filed=False)
+    anyio.run(cancel_at, 300.0)
+    assert len(committer.names) == 1
+
+
+def test_the_outcome_of_a_finished_job_is_read_once_and_kept() -> None:
+    cache, store = StateCache(), Store()
+    final = FinishedJob("done", 2, 21.0)
+    store.records[f"s/f/{FIRST}"] = finished_job_value(final, SCHEMA_V2), 7
+    resolver = resolver_of(store, cache)
+    for _ in range(3):
+        found = anyio.run(resolver.finished_jobs, [FIRST])
+        assert found == {FIRST: final._replace(version=7)}
+    assert store.read == [f"s/f/{FIRST}"]
+
+
+def test_a_failed_reading_is_raised_as_it_is_and_reading_ends() -> None:
+    cache, store = StateCache(), Store()
+    store.failing = True
+    names = [f"job-{number:06d}" for number in range(100)]
+    with pytest.raises(StoreRequestError):
+        anyio.run(resolver_of(store, cache).finished_jobs, names)
+    assert len(store.read) < len(names)
