--- a/src/sandladder/autoscaling/cloud_client.py
+++ b/src/sandladder/autoscaling/cloud_client.py
@@ -8,6 +8,8 @@
 from sandladder.transport import HttpError, Requester, Response
 
 _OK, _OVER_RATE_LIMIT, _UNAVAILABLE = 200, 429, 503
+# How many instances one request may return.
+MOST_RETURNED = 100
 # How many machines a page of the list may have.
 _PAGE_SIZE = 500
 
--- a/src/sandladder/autoscaling/instance_drainer.py
+++ b/src/sandladder/autoscaling/instance_drainer.py
@@ -5,9 +5,9 @@
 import anyio
 
 from sandladder import clock
-from sandladder.autoscaling.cloud_client import CloudClient
+from sandladder.autoscaling.cloud_client import MOST_RETURNED, CloudClient
 from sandladder.autoscaling.controller_status import ControllerStatus
-from sandladder.autoscaling.instance_reconciler import MOST_RETURNED, InstanceReconciler
+from sandladder.autoscaling.instance_reconciler import InstanceReconciler
 from sandladder.autoscaling.instance_records import InstanceRecordWriter
 from sandladder.autoscaling.instance_states import ACTIVE, DRAINING, GONE
 from sandladder.autoscaling.scaling_policy import ScalingPolicy
--- a/src/sandladder/autoscaling/instance_reconciler.py
+++ b/src/sandladder/autoscaling/instance_reconciler.py
@@ -3,7 +3,7 @@
 import logging
 from collections.abc import Iterable
 
-from sandladder.autoscaling.cloud_client import CloudClient
+from sandladder.autoscaling.cloud_client import MOST_RETURNED, CloudClient
 from sandladder.autoscaling.instance_records import InstanceRecordWriter
 from sandladder.autoscaling.instance_states import ACTIVE, DRAINING, GONE, LISTED_FAILED
 from sandladder.autoscaling.unresponsive import boot_is_overdue
@@ -19,8 +19,6 @@
 _MISSING_LAGS = 2.5
 # For how many lags a gone instance's record is kept, and when a list last showed a machine.
 _RECORD_KEPT_LAGS, _SIGHTING_KEPT_LAGS = 6, 10
-# How many instances one request to the cloud may return.
-MOST_RETURNED = 100
 # Records of gone instances are removed on their own once they are this share of a chunk.
 _REMOVED_SHARE = 0.25
 
--- a/tests/test_autoscaler.py
+++ b/tests/test_autoscaler.py
@@ -109,63 +109,63 @@
 
 def test_a_free_lease_is_acquired_once_and_renewed_in_time() -> None:
     async def main() -> None:
-        scene = LeaseScene()
-        assert await scene.lease.ensure() and scene.cache.autoscaler_node == NODE
-        assert await scene.lease.ensure()
-        assert (scene.store.granted, scene.store.renewed, scene.acquisitions) == (1, 0, 1)
+        setup = LeaseScene()
+        assert await setup.lease.ensure() and setup.cache.autoscaler_node == NODE
+        assert await setup.lease.ensure()
+        assert (setup.store.granted, setup.store.renewed, setup.acquisitions) == (1, 0, 1)
         for _ in range(20):
             await anyio.sleep(TTL_S / 4)
-            assert await scene.lease.ensure()
-        assert scene.store.granted == 1 and scene.store.renewed >= 5
+            assert await setup.lease.ensure()
+        assert setup.store.granted == 1 and setup.store.renewed >= 5
 
     in_virtual_time(main)
 
 
 def test_a_lease_that_was_not_renewed_in_time_is_not_trusted() -> None:
     async def main() -> None:
-        scene = LeaseScene()
-        assert await scene.lease.ensure()
+        setup = LeaseScene()
+        assert await setup.lease.ensure()
         await anyio.sleep(2 * TTL_S)
-        scene.store.expired = True
-        assert not await scene.lease.ensure() and not scene.lease.acquired
-        assert await scene.lease.ensure() and scene.store.granted == 2
+        setup.store.expired = True
+        assert not await setup.lease.ensure() and not setup.lease.acquired
+        assert await setup.lease.ensure() and setup.store.granted == 2
 
     in_virtual_time(main)
 
 
 def test_a_lease_of_another_controller_is_left_alone() -> None:
     async def main() -> None:
-        scene = LeaseScene()
-        scene.write("node-1")
-        assert not await scene.lease.ensure()
-        assert scene.store.granted == 0 and scene.cache.autoscaler_node == "node-1"
+        setup = LeaseScene()
+        setup.write("node-1")
+        assert not await setup.lease.ensure()
+        assert setup.store.granted == 0 and setup.cache.autoscaler_node == "node-1"
 
     in_virtual_time(main)
 
 
 def test_a_key_left_by_an_earlier_process_of_the_controller_is_taken_over() -> None:
     async def main() -> None:
-        scene = LeaseScene()
-        scene.write(NODE)
-        assert await scene.lease.ensure()
+        setup = LeaseScene()
+        setup.write(NODE)
+        assert await setup.lease.ensure()
 
     in_virtual_time(main)
 
 
 def test_a_key_that_another_process_wrote_ends_the_lease() -> None:
     async def main() -> None:
-        scene = LeaseScene()
-        assert await scene.lease.ensure()
-        scene.write(NODE)
-        assert not await scene.lease.ensure() and not scene.lease.acquired
+        setup = LeaseScene()
+        assert await setup.lease.ensure()
+        setup.write(NODE)
+        assert not await setup.lease.ensure() and not setup.lease.acquired
 
     in_virtual_time(main)
 
 
 def test_a_controller_without_its_own_lease_does_not_become_the_autoscaler() -> None:
     async def main() -> None:
-        scene = LeaseScene(replace(STATUS, lease_alive=lambda: False))
-        assert not await scene.lease.ensure() and scene.store.granted == 0
+        setup = LeaseScene(replace(STATUS, lease_alive=lambda: False))
+        assert not await setup.lease.ensure() and setup.store.granted == 0
 
     in_virtual_time(main)
 
@@ -175,10 +175,10 @@
 
     async def main() -> None:
         nonlocal isolated
-        scene = LeaseScene(replace(STATUS, isolated=lambda now: isolated))
-        assert await scene.lease.ensure()
+        setup = LeaseScene(replace(STATUS, isolated=lambda now: isolated))
+        assert await setup.lease.ensure()
         isolated = True
-        assert not await scene.lease.ensure() and not scene.lease.acquired
+        assert not await setup.lease.ensure() and not setup.lease.acquired
 
     in_virtual_time(main)
 
@@ -268,23 +268,23 @@
 
 def test_a_request_without_an_answer_is_sent_again_under_its_name() -> None:
     async def main() -> None:
-        scene = LaunchScene(CloudError("lost"), CloudError("lost"), ["vm-000001", "vm-000002"], [])
-        await scene.launcher.launch(REQUEST)
-        await scene.launcher.launch(REQUEST)
-        assert scene.cloud.names == ["node-0-7-1"] * 3 + ["node-0-7-2"]
+        setup = LaunchScene(CloudError("lost"), CloudError("lost"), ["vm-000001", "vm-000002"], [])
+        await setup.launcher.launch(REQUEST)
+        await setup.launcher.launch(REQUEST)
+        assert setup.cloud.names == ["node-0-7-1"] * 3 + ["node-0-7-2"]
         created = Machine("small", "north", True, ACTIVE, 50.0)
-        assert scene.records.unwritten == {"vm-000001": created, "vm-000002": created}
-        assert scene.refused == [REQUEST]
+        assert setup.records.unwritten == {"vm-000001": created, "vm-000002": created}
+        assert setup.refused == [REQUEST]
 
     in_virtual_time(main)
 
 
 def test_a_request_is_given_up_after_three_attempts() -> None:
     async def main() -> None:
-        scene = LaunchScene(*[CloudError("lost")] * 3)
-        await scene.launcher.launch(REQUEST)
-        assert len(scene.cloud.names) == 3
-        assert not scene.records.unwritten and not scene.refused
+        setup = LaunchScene(*[CloudError("lost")] * 3)
+        await setup.launcher.launch(REQUEST)
+        assert len(setup.cloud.names) == 3
+        assert not setup.records.unwritten and not setup.refused
 
     in_virtual_time(main)
 
@@ -292,10 +292,10 @@
 @pytest.mark.parametrize("answer", [NoCapacityError("none"), ["vm-000001"]])
 def test_an_offer_without_enough_capacity_counts_as_refused(answer: Any) -> None:
     async def main() -> None:
-        scene = LaunchScene(answer)
-        await scene.launcher.launch(REQUEST)
-        assert scene.refused == [REQUEST] and len(scene.cloud.names) == 1
-        assert list(scene.records.unwritten) == (answer if isinstance(answer, list) else [])
+        setup = LaunchScene(answer)
+        await setup.launcher.launch(REQUEST)
+        assert setup.refused == [REQUEST] and len(setup.cloud.names) == 1
+        assert list(setup.records.unwritten) == (answer if isinstance(answer, list) else [])
 
     in_virtual_time(main)
 
