--- a/src/sandladder/agents/agent_expiry.py
+++ b/src/sandladder/agents/agent_expiry.py
@@ -1,4 +1,4 @@
-"""Agents that stay silent: their losses, their tokens, and when they are forgotten."""
+"""The periodic pass over all agents: expired leases, late starts, and whom to forget."""
 
 import anyio
 
@@ -10,7 +10,7 @@
 from sandladder.membership import ControllerLease
 from sandladder.model import EndedAttempt
 
-# How often a report interval has a pass; each revisits one of so many shares of the agents.
+# Passes in a report interval; each revisits one of so many shares of the agents.
 _PASSES_PER_INTERVAL = 6
 _SHARES = 6
 # An agent that is silent for so many leases is forgotten.
@@ -20,7 +20,7 @@
 
 
 class AgentExpiry:
-    """Looks again, at a slow pace, for what events may have missed."""
+    """Revisits the agents periodically, for what events may have missed."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         self._clients = clients
 
     async def run(self) -> None:
-        """Make one pass after the other until cancelled."""
+        """Make one pass after the other until cancelled; a pass may be cancelled at any point."""
         share = 0
         while True:
             await anyio.sleep(self._interval_s)
--- a/src/sandladder/agents/agent_service.py
+++ b/src/sandladder/agents/agent_service.py
@@ -75,7 +75,7 @@
         self._sender.send_commands(agent)
 
     def stop_cancelled(self, job_ids: list[str]) -> None:
-        """Stop at once what runs of jobs that a peer says are cancelled."""
+        """Stop at once what runs of jobs that a peer names as cancelled."""
         self._sender.stop_cancelled(job_ids)
 
     def deaf(self, now: float) -> bool:
--- a/src/sandladder/agents/agent_session.py
+++ b/src/sandladder/agents/agent_session.py
@@ -14,8 +14,8 @@
     Times are in seconds on this controller's steady clock.  Pure: no I/O, no clock.
     """
 
-    def __init__(self, report: AgentHeartbeat) -> None:
-        self.report = report
+    def __init__(self, heartbeat: AgentHeartbeat) -> None:
+        self.report = heartbeat  # the latest
         # When the latest heartbeat came, be it the response to a command or the agent's own
         # request, and when the latest of its own requests came.
         self.heard_at = 0.0
--- a/src/sandladder/agents/command_sender.py
+++ b/src/sandladder/agents/command_sender.py
@@ -35,6 +35,7 @@
 
     @property
     def has_start(self) -> bool:
+        """Whether any of them starts an attempt."""
         return any(command.op == START for command in self.commands)
 
 
@@ -85,7 +86,7 @@
             self._background.start_soon(self._command, agent)
 
     def stop_cancelled(self, job_ids: list[str]) -> None:
-        """Stop at once what runs of jobs that a peer says are cancelled, each committed so."""
+        """Stop at once what runs of jobs that a peer names as cancelled, each committed so."""
         for job_id in self._cache.tell(job_ids, clock.now()):
             job = self._cache.jobs.get(job_id)
             attempts = job.live.values() if job is not None else ()
--- a/src/sandladder/agents/heartbeat_endpoint.py
+++ b/src/sandladder/agents/heartbeat_endpoint.py
@@ -53,7 +53,7 @@
         """Answer one heartbeat.
 
         Waits at most for a later fencing token, if the agent has accepted one above ours.
-        Cancelled there, it has taken nothing in.
+        Cancelled there, the heartbeat counts as not received.
         """
         try:
             heartbeat = wire.parse_report(wire.loads(request.body))
--- a/src/sandladder/agents/lease_expiry.py
+++ b/src/sandladder/agents/lease_expiry.py
@@ -20,7 +20,7 @@
 
 
 class PeerInventory(NamedTuple):
-    """Another controller's inventory as it stands in the records."""
+    """Another controller's latest inventory in the records."""
 
     node: str
     inventory: MachineInventory
@@ -32,14 +32,13 @@
 
     inventory: MachineInventory
     received_at: float
-    made_after: float  # no later than when it was made
+    made_after: float  # no later than when it was made: its answers are complete up to then
 
-
-class _AnswerBounds(NamedTuple):
-    """What is known of one controller's answers to an agent."""
-
-    last_answer_at: float  # no earlier than its last answer
-    complete_until: float  # up to then it gave no other
+    def last_answer_at(self, machine: str, listed_s: float) -> float:
+        """A time no earlier than its writer's last answer to the agent, as it was then."""
+        status = self.inventory.machines.get(machine)
+        silent_s = status.age_s if status else min(self.inventory.up_s, listed_s)
+        return self.received_at - silent_s
 
 
 class _StoreReading(NamedTuple):
@@ -59,15 +58,15 @@
     """
 
     def __init__(
-        self, node: str, nodes: list[str], lease_s: float, started: float, process: int = 0
+        self, node: str, nodes: list[str], lease_s: float, started_at: float, process: int = 0
     ) -> None:
         """Begin without any knowledge of answers.
 
         Args:
             node: this controller, among all that the settings name: `nodes`.
             lease_s: how long an agent's lease lasts.
-            started: when this process began.
-            process: tells this process from others under the same name.
+            started_at: when this process began.
+            process: distinguishes this process from others under the same name.
         """
         self._node = node
         self._process = process
@@ -77,7 +76,7 @@
         self._peers = [name for name in nodes if name != node]
         self._needed_s = lease_s * _CLOCK_MARGIN
         self._listed_s = lease_s * _LISTED_LEASES
-        self._started = started
+        self._started_at = started_at
         self._answered_at: dict[str, float] = {}
         self._observations: dict[str, _Observation] = {}
         self._absent_since: dict[str, float] = {}
@@ -105,7 +104,7 @@
 
     def up_s(self, now: float) -> float:
         """For how many seconds this process has been running."""
-        return now - self._started
+        return now - self._started_at
 
     # What the records show
 
@@ -120,12 +119,12 @@
             for session in numbers
         }
 
-    def synced(self, sent: float, revision: int) -> None:
+    def synced(self, sent_at: float, revision: int) -> None:
         """A reading of the store that was sent then reached this revision."""
-        self._last_read_at = max(self._last_read_at, sent)
+        self._last_read_at = max(self._last_read_at, sent_at)
         readings = self._readings
-        if not readings or sent - readings[-1].sent_at > self._needed_s / _READINGS_PER_LEASE:
-            readings.append(_StoreReading(sent, revision))
+        if not readings or sent_at - readings[-1].sent_at > self._needed_s / _READINGS_PER_LEASE:
+            readings.append(_StoreReading(sent_at, revision))
 
     def observe(
         self, nodes: dict[str, MachineInventory], now: float, unreadable_nodes: Collection[str] = ()
@@ -182,27 +181,20 @@
         # Seen in the simulation.
         if self._name_taken:
             return False
-        last_answer_at = self._answered_at.get(machine, max(self._started, now - self._listed_s))
+        last_answer_at = self._answered_at.get(machine, max(self._started_at, now - self._listed_s))
         # An agent that started after an inventory was made is missing there, and running: only
         # what follows the beginning of its session counts.  Seen in a measured day: a task ran
         # twice after a peer's message on a new machine came before the peer's inventory.
         last_answer_at = max(last_answer_at, self._known_since.get((machine, session), now))
         complete_until = min(now, self._last_read_at)
         for name in self._peers:
-            bounds = self._answers_of(name, machine)
-            if bounds is None:
-                return False
-            last_answer_at = max(last_answer_at, bounds.last_answer_at)
-            complete_until = min(complete_until, bounds.complete_until)
+            observation = self._observations.get(name)
+            if observation is not None:
+                by_peer = observation.last_answer_at(machine, self._listed_s)
+                last_answer_at = max(last_answer_at, by_peer)
+                complete_until = min(complete_until, observation.made_after)
+            elif name in self._absent_since:
+                last_answer_at = max(last_answer_at, self._absent_since[name])
+            else:
+                return False  # it may have answered at any time
         return complete_until - last_answer_at >= self._needed_s
-
-    def _answers_of(self, name: str, machine: str) -> _AnswerBounds | None:
-        """The bounds that hold for another controller; None: it may have answered at any time."""
-        observation = self._observations.get(name)
-        if observation is None:
-            absent_since = self._absent_since.get(name)
-            return None if absent_since is None else _AnswerBounds(absent_since, math.inf)
-        inventory = observation.inventory
-        listed = inventory.machines.get(machine)
-        silent_s = listed.age_s if listed else min(inventory.up_s, self._listed_s)
-        return _AnswerBounds(observation.received_at - silent_s, observation.made_after)
--- a/src/sandladder/agents/lease_renewal_guard.py
+++ b/src/sandladder/agents/lease_renewal_guard.py
@@ -43,7 +43,7 @@
         Args:
             node: this controller.
             peers: all others that the settings name.
-            process: tells this process from others under the same name.
+            process: distinguishes this process from others under the same name.
             workers: how long leases and cancellations may take.
         """
         self._node, self._process = node, process
@@ -53,37 +53,37 @@
         # The latest clock reading received of each peer, to be acknowledged to it.
         self.echoes: dict[str, ClockReading] = {}
 
-    def read(self, sent: float) -> None:
+    def read(self, sent_at: float) -> None:
         """The response to a reading of the store that was sent then has come."""
-        self._last_read_at = max(self._last_read_at, sent)
+        self._last_read_at = max(self._last_read_at, sent_at)
 
     def heard(
         self,
         node: str,
-        stamp: ClockReading,
-        echoes: dict[str, ClockReading],
-        whole: bool,
+        made_at: ClockReading,
+        acknowledged: dict[str, ClockReading],
+        names_all: bool,
         now: float,
     ) -> None:
         """Take in a heartbeat of another controller.
 
         Args:
             node: its sender.
-            stamp: when its sender made it, on the sender's clock.
-            echoes: the clock readings that its sender acknowledges.
-            whole: whether it names all cancelled jobs that its sender knows.
+            made_at: when its sender made it, on the sender's clock.
+            acknowledged: by controller, the latest clock reading that its sender received.
+            names_all: whether it names all cancelled jobs that its sender knows.
             now: when it came.
         """
         peer = self._peers.get(node)
         if peer is None:
             return
-        self.echoes[node] = stamp
-        if peer.process != stamp.process:
-            peer.process, peer.first_heartbeat_at = stamp.process, now
+        self.echoes[node] = made_at
+        if peer.process != made_at.process:
+            peer.process, peer.first_heartbeat_at = made_at.process, now
             peer.known_until = -math.inf
-        acknowledged = echoes.get(self._node)
-        if whole and acknowledged is not None and acknowledged.process == self._process:
-            peer.known_until = max(peer.known_until, acknowledged.at)
+        ours = acknowledged.get(self._node)
+        if names_all and ours is not None and ours.process == self._process:
+            peer.known_until = max(peer.known_until, ours.at)
 
     def _known_until(self, peer: _Peer) -> float:
         """All cancellations that this peer, in any process, confirmed up to then are known here."""
--- a/src/sandladder/agents/reconciler.py
+++ b/src/sandladder/agents/reconciler.py
@@ -32,36 +32,36 @@
     """Heartbeats in, commands and proved ends out, under the controller's current fencing token."""
 
     def __init__(self) -> None:
-        self.term = 0
+        self.term = 0  # this controller's fencing token; 0: it has none yet
         # The first of our tokens since another controller last took one.
         self._first_consecutive_token = 0
-        self.machines: dict[str, AgentSession] = {}
+        self.machines: dict[str, AgentSession] = {}  # the agents, by machine
 
-    def new_term(self, term: int) -> None:
+    def new_term(self, token: int) -> None:
         """Adopt a later fencing token; a gap in the numbers: another controller took one."""
-        if term != self.term + 1:
-            self._first_consecutive_token = term
-        self.term = term
+        if token != self.term + 1:
+            self._first_consecutive_token = token
+        self.term = token
         for agent in self.machines.values():
             if agent.report.token < self._first_consecutive_token:
                 agent.revoke_token()
 
-    def heard(self, report: AgentHeartbeat, now: float, *, direct: bool) -> HeartbeatResult:
+    def heard(self, heartbeat: AgentHeartbeat, now: float, *, direct: bool) -> HeartbeatResult:
         """Take in a heartbeat; `direct`: it came as the response to a command of ours.
 
         One that the network held back changes nothing: its task list is as old as it is.
         """
-        agent = self.machines.get(report.machine)
+        agent = self.machines.get(heartbeat.machine)
         if agent is None:
-            agent = self.machines[report.machine] = AgentSession(report)
-        elif not agent.is_newer(report):
+            agent = self.machines[heartbeat.machine] = AgentSession(heartbeat)
+        elif not agent.is_newer(heartbeat):
             return HeartbeatResult(agent, False)
-        agent.take_in(report, now, direct=direct)
-        if report.token > self.term or report.token < self._first_consecutive_token:
-            agent.revoke_token()
-        else:
+        agent.take_in(heartbeat, now, direct=direct)
+        if self._first_consecutive_token <= heartbeat.token <= self.term:
             agent.accept_token()
-        if agent.stale_start_token is not None and report.token > agent.stale_start_token:
+        else:
+            agent.revoke_token()
+        if agent.stale_start_token is not None and heartbeat.token > agent.stale_start_token:
             agent.rule_out_late_start()
         return HeartbeatResult(agent, True)
 
--- a/tests/test_lease_expiry.py
+++ b/tests/test_lease_expiry.py
@@ -78,3 +78,35 @@
     assert proof.has_expired("new", 1, 102.0)
     proof.observe_sessions({"old": [1]}, 102.0)
     assert not proof.has_expired("old", 2, 90.0)
+
+
+def silent_agent(nodes: list[str]) -> LeaseExpiryProof:
+    """A proof by controller `a`, of process 7, that has read the store for three leases."""
+    proof = LeaseExpiryProof("a", nodes, LEASE_S, 0.0, 7)
+    proof.observe_sessions({"vm": [1]}, 0.0)
+    for second in range(1, 31):
+        proof.synced(float(second), second)
+    return proof
+
+
+def test_a_controller_that_may_have_answered_at_any_time_prevents_the_proof() -> None:
+    proof = silent_agent(["a", "b"])
+    assert not proof.has_expired("vm", 1, 30.0)  # nothing was ever read of `b`
+    # Its inventory cannot be read: it is running, and may have answered.
+    proof.observe({}, 1.0, {"b"})
+    assert not proof.has_expired("vm", 1, 30.0)
+    # Its inventory has gone with its own lease, so it has stopped answering.
+    proof.observe({}, 1.0)
+    assert proof.has_expired("vm", 1, 30.0)
+
+
+def test_nothing_is_proved_while_another_process_runs_under_our_name() -> None:
+    """Seen in the simulation: it had answered an agent from which we received nothing."""
+    proof = silent_agent(["a"])
+    assert proof.has_expired("vm", 1, 30.0)
+    proof.observe({"a": MachineInventory(1, 1.0, 1, {}, process=8)}, 30.0)
+    assert not proof.has_expired("vm", 1, 30.0)
+    proof.observe({}, 30.0, {"a"})
+    assert not proof.has_expired("vm", 1, 30.0)
+    proof.observe({"a": MachineInventory(1, 1.0, 1, {}, process=7)}, 30.0)
+    assert proof.has_expired("vm", 1, 30.0)
--- a/tests/test_lease_renewal_guard_model.py
+++ b/tests/test_lease_renewal_guard_model.py
@@ -165,3 +165,20 @@
 )
 def test_a_planted_defect_is_found(planted: Search) -> None:
     assert planted.broken() is not None
+
+
+@pytest.mark.parametrize(
+    ("process", "names_all", "known_until"),
+    [(1, True, 5.0), (1, False, 2.0), (9, True, 2.0)],
+    ids=["proves", "omits-cancelled-jobs", "acknowledges-another-process"],
+)
+def test_a_heartbeat_carries_knowledge_on_only_if_it_is_complete_and_acknowledges_us(
+    process: int, names_all: bool, known_until: float
+) -> None:
+    guard = LeaseRenewalGuard(
+        "a", ["b"], 1, WorkerSettings(report_s=1.0, lease_s=LEASE, cancel_s=CANCEL)
+    )
+    guard.heard("b", ClockReading(1, 0.0), {}, True, 1.0)
+    guard.read(2.0)
+    guard.heard("b", ClockReading(1, 0.0), {"a": ClockReading(process, 5.0)}, names_all, 6.0)
+    assert guard.cancellations_known_until() == known_until
