--- a/src/sandladder/membership/controller_lease.py
+++ b/src/sandladder/membership/controller_lease.py
@@ -67,7 +67,7 @@
 
         Args:
             node: the controller's name.
-            process: tells the controller's processes apart.
+            process: distinguishes the controller's processes.
             ttl_s: the lease's duration, in seconds.
             report_s: between two heartbeats of an agent, in seconds.
             inventory_interval_s: between two inventories, in seconds.
--- a/src/sandladder/membership/inventory_writer.py
+++ b/src/sandladder/membership/inventory_writer.py
@@ -48,7 +48,7 @@
 
         Args:
             node: the controller's name.
-            process: tells the controller's processes apart.
+            process: distinguishes the controller's processes.
             cache: the records as this process knows them.
             committer: commits the parts that go ahead.
             limits: of the state service's transactions and values.
--- a/src/sandladder/membership/roster_transitions.py
+++ b/src/sandladder/membership/roster_transitions.py
@@ -159,10 +159,10 @@
     for team in sorted(before.assignments):
         if not before.is_assigned(team, node):
             continue
-        heir = successor(team, after.roster, counts)
-        if heir is not None:
-            counts[heir] += 1
-            moved[team] = TeamAssignment(heir, after.roster[heir].term)
+        new_assignee = successor(team, after.roster, counts)
+        if new_assignee is not None:
+            counts[new_assignee] += 1
+            moved[team] = TeamAssignment(new_assignee, after.roster[new_assignee].term)
     return moved
 
 
--- a/src/sandladder/peers/heartbeats.py
+++ b/src/sandladder/peers/heartbeats.py
@@ -84,7 +84,7 @@
 
         Args:
             node: the controller's name.
-            process: tells the controller's processes apart.
+            process: distinguishes the controller's processes.
             peers: the other controllers.
             interval_s: between two heartbeats at the most, in seconds.
             cache: knows the cancelled jobs.
--- a/src/sandladder/peers/peer_service.py
+++ b/src/sandladder/peers/peer_service.py
@@ -60,7 +60,7 @@
 
         Args:
             node: the controller of this process.
-            process: tells the controller's processes apart.
+            process: distinguishes the controller's processes.
             peers: the other controllers.
             heartbeat_interval_s: between two heartbeats at the most, in seconds.
             response_timeout_s: how long to wait for a peer that serves a request, in seconds.
--- a/src/sandladder/peers/request_forwarder.py
+++ b/src/sandladder/peers/request_forwarder.py
@@ -8,7 +8,7 @@
 from sandladder.protocol import wire
 from sandladder.transport import ForwardedRequest, ForwardedResponse, Request, Response
 
-# How many bits of a forwarded request's number count the requests; the rest tell the process.
+# How many bits of a forwarded request's number count the requests; the rest identify the process.
 _COUNTER_BITS = 20
 
 # The response when a request cannot be taken: come back soon.
@@ -40,7 +40,7 @@
 
         Args:
             node: the controller's name.
-            process: tells the controller's processes apart.
+            process: distinguishes the controller's processes.
             timeout_s: how long to wait for a peer's response, in seconds.
             background: serves the requests that peers forward.
             send: sends a message to a peer.
--- a/src/sandladder/transport/peer_messages.py
+++ b/src/sandladder/transport/peer_messages.py
@@ -53,7 +53,7 @@
     agents: int | None = None  # how many report to it; None: it takes none
     leaving: bool = False
     observations: dict[str, LinkObservation] = {}  # by controller
-    process: int = 0  # tells processes of one controller apart
+    process: int = 0  # distinguishes the processes of one controller
     sent_at: float = 0.0  # on that process's steady clock, in seconds
     acknowledged: dict[str, ClockReading] = {}  # by controller, its latest `sent_at` received
     cancelled_jobs: list[str] = []  # committed cancellations that the sender knows
--- a/tests/membership/test_crash_points.py
+++ b/tests/membership/test_crash_points.py
@@ -1,4 +1,4 @@
-"""A controller ends at the very point at which something of it is under way; others go on.
+"""A controller crashes at the very point at which work of it is in progress; others complete it.
 
 Each point is one line of the table in docs/membership.md.
 """
@@ -14,7 +14,8 @@
 from sandladder.transport import Request
 from world import World, job, now, run
 
-# Whether a request is the point at which its source, or else its target, ends.
+# Whether a request is the point at which its source, or else its target, crashes.  The arguments are
+# "before" or "after" it is served, its source, its target and the request.
 Point = Callable[[str, str, str, Request], bool]
 
 
@@ -42,22 +43,22 @@
     return when == "after" and any(not _job(v) for v in _records(request))
 
 
-def _orders(request: Request, verb: str) -> bool:
+def _commands(request: Request, verb: str) -> bool:
     return request.path == "/do" and any(
-        order["verb"] == verb for order in cbor2.loads(request.body)["orders"]
+        command["verb"] == verb for command in cbor2.loads(request.body)["orders"]
     )
 
 
 def run_sent(when: str, source: str, target: str, request: Request) -> bool:
-    return when == "before" and _orders(request, "run")
+    return when == "before" and _commands(request, "run")
 
 
 def run_carried_out(when: str, source: str, target: str, request: Request) -> bool:
-    return when == "after" and _orders(request, "run")
+    return when == "after" and _commands(request, "run")
 
 
 def halt_sent(when: str, source: str, target: str, request: Request) -> bool:
-    return when == "before" and _orders(request, "halt")
+    return when == "before" and _commands(request, "halt")
 
 
 def exit_reported(when: str, source: str, target: str, request: Request) -> bool:
@@ -70,7 +71,7 @@
     return when == "after" and any(_job(v) and not v.get("l") for v in _records(request))
 
 
-def machines_hired(when: str, source: str, target: str, request: Request) -> bool:
+def machines_rented(when: str, source: str, target: str, request: Request) -> bool:
     return when == "after" and request.path == "/machines"
 
 
@@ -83,36 +84,36 @@
     halt_sent,
     exit_reported,
     submission_taken,
-    machines_hired,
+    machines_rented,
 ]
 
 
 @pytest.mark.parametrize("point", POINTS, ids=lambda p: p.__name__)
-def test_what_was_under_way_is_taken_on(point: Point) -> None:
+def test_work_in_progress_at_a_crash_is_completed_by_others(point: Point) -> None:
     world = World(80 + POINTS.index(point))
-    ended: list[tuple[float, str]] = []
-    # The first few times are let pass, so that the day is under way.
+    crashes: list[tuple[float, str]] = []  # when, and of which controller
+    # The first few times are passed over, so that there is work in progress.
     skip = world.rng.randrange(4)
     web = job(900, form="service", entries=2, rank="prod", docket="web", loaners=False)
 
     def trap(when: str, source: str, target: str, request: Request) -> None:
         nonlocal skip
-        if len(ended) >= 3 or not point(when, source, target, request):
+        if len(crashes) >= 3 or not point(when, source, target, request):
             return
         node = source if source.startswith("node-") else target
         if not node.startswith("node-") or node not in world.nodes:
             return
         skip -= 1
-        if skip < 0 and (not ended or now() - ended[-1][0] > 12.0):
-            ended.append((now(), node))
+        if skip < 0 and (not crashes or now() - crashes[-1][0] > 12.0):
+            crashes.append((now(), node))
             world.crash(int(node[-1]))
 
     async def restart() -> None:
         while True:
             await anyio.sleep(0.5)
             for index in range(world.count):
-                gone = [at for at, node in ended if node == f"node-{index}"]
-                if f"node-{index}" not in world.nodes and now() - gone[-1] > 5.0:
+                crashed_at = [at for at, node in crashes if node == f"node-{index}"]
+                if f"node-{index}" not in world.nodes and now() - crashed_at[-1] > 5.0:
                     world.boot(index)
 
     async def main() -> None:
@@ -126,7 +127,7 @@
             await anyio.sleep(3.0)
             if number % 4 == 2:
                 up = [w for w, t in world.present() if t.name.startswith(web["id"])]
-                if up:  # its replicas are to move: stops are under way
+                if up:  # its replicas are to move: stops are in progress
                     up[0].notice_until = now() + 12.0
         assert not await world.until_done(ids, 150.0)
         assert await world.cancel(web["id"]) == "cancelled"
@@ -136,15 +137,15 @@
 
     run(world, main)
     assert world.broken == []
-    assert ended, "the point was never reached"
-    # What was told once is not told again: each task ran as often as its machine or its
+    assert crashes, "the point was never reached"
+    # Nothing is started twice without need: each task ran as often as its machine or its
     # controller was lost, and no more.
     tasks = [name for name in world.starts if not name.startswith(web["id"])]
     assert sum(world.starts[name] for name in tasks) <= len(tasks) + 4
 
 
-def test_a_cancellation_half_done_is_finished() -> None:
-    """The controller that committed it ends before it told the machines, and the user."""
+def test_a_cancellation_committed_before_a_crash_is_completed() -> None:
+    """The controller that committed it crashes before any machine, or the user, learns of it."""
     world = World(95)
 
     async def main() -> None:
--- a/tests/membership/test_faults.py
+++ b/tests/membership/test_faults.py
@@ -1,4 +1,4 @@
-"""Whole controllers through each kind of fault, also with a slow state service; the rules hold."""
+"""Whole controllers through each kind of fault, also with a slow state service."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -10,7 +10,8 @@
 from world import World, job, now, run
 
 Fault = Callable[[World, int], Awaitable[None]]
-LEASE, HOLD, REPORT = 12.0, 24.0, 2.0  # of the world
+# Of the simulation, in seconds: an agent's lease, a controller's, between an agent's heartbeats.
+AGENT_LEASE_S, CONTROLLER_LEASE_S, REPORT_S = 12.0, 24.0, 2.0
 
 
 async def ends(world: World, index: int) -> None:
@@ -26,15 +27,15 @@
 
 
 async def stands_still_for_a_moment(world: World, index: int) -> None:
-    await _freeze(world, index, 0.8 * REPORT)
+    await _freeze(world, index, 0.8 * REPORT_S)
 
 
 async def stands_still_past_a_lease(world: World, index: int) -> None:
-    await _freeze(world, index, LEASE + 3.0)
+    await _freeze(world, index, AGENT_LEASE_S + 3.0)
 
 
 async def stands_still_past_its_hold(world: World, index: int) -> None:
-    await _freeze(world, index, HOLD + 4.0)
+    await _freeze(world, index, CONTROLLER_LEASE_S + 4.0)
 
 
 async def is_slow(world: World, index: int) -> None:
@@ -150,8 +151,8 @@
 
 @pytest.mark.parametrize("slow", [0.0, 0.15], ids=["", "slow store"])
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda f: f.__name__)
-def test_the_rules_hold_and_teams_move_no_more_than_they_must(fault: Fault, slow: float) -> None:
-    """The controller that places `red` meets the fault; work of both teams goes on."""
+def test_no_rule_is_broken_and_teams_move_no_more_than_they_must(fault: Fault, slow: float) -> None:
+    """The controller that schedules `red` meets the fault; work of both teams goes on."""
     play_fault(300 + list(FAULTS).index(fault), fault, slow)
 
 
@@ -166,7 +167,7 @@
             await anyio.sleep(0.5)
         await anyio.sleep(3.0)
         world.store.slow_s = slow
-        assignment = world.store.items["s/t/red"][0]["p"]
+        assignee = world.store.items["s/t/red"][0]["p"]
         specs = [
             job(n, entries=3, bureau=("red", "blue")[n % 2], expect_s=4.0 + 30.0 * (n < 2))
             for n in range(10)
@@ -183,7 +184,7 @@
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(users)
-            tasks.start_soon(fault, world, int(assignment[-1]))
+            tasks.start_soon(fault, world, int(assignee[-1]))
         assert not await world.until_done([spec["id"] for spec in specs], 120.0)
         world.check()
 
@@ -194,8 +195,8 @@
     assert moved["red"] <= own and moved["blue"] <= other, moved
 
 
-def test_an_outage_of_the_store_has_nobody_doubted() -> None:
-    """Seen in a measured day: what each had decided of the others was written when it was over."""
+def test_an_outage_of_the_store_makes_nobody_suspected() -> None:
+    """Seen in a measured day: what each had decided of the others was written after the outage."""
     world = World(351)
 
     async def main() -> None:
@@ -215,22 +216,22 @@
     assert world.broken == []
 
 
-def test_one_that_knows_it_goes_hands_its_team_over_first() -> None:
+def test_a_controller_that_shuts_down_hands_its_team_over_first() -> None:
     world = World(350)
 
     async def main() -> None:
         await warm(world)
         await anyio.sleep(6.0)
-        assignment = world.store.items["s/t/red"][0]["p"]
+        assignee = world.store.items["s/t/red"][0]["p"]
         began = now()
-        await world.nodes[assignment].membership.leave(REPORT)
+        await world.nodes[assignee].membership.leave(REPORT_S)
         assert now() - began < 0.5
-        assert world.store.items["s/t/red"][0]["p"] != assignment
-        world.crash(int(assignment[-1]))
+        assert world.store.items["s/t/red"][0]["p"] != assignee
+        world.crash(int(assignee[-1]))
         await anyio.sleep(3.0)
-        world.boot(int(assignment[-1]))
+        world.boot(int(assignee[-1]))
         await anyio.sleep(15.0)
-        assert world.store.items["s/t/red"][0]["p"] == assignment
+        assert world.store.items["s/t/red"][0]["p"] == assignee
         assert moves(world, began) == {"red": 2, "blue": 0}
 
     run(world, main)
@@ -238,7 +239,7 @@
 
 
 @pytest.mark.parametrize("fault", [ends, stands_still_past_a_lease, loses_the_store])
-def test_a_team_starts_again_soon_after_its_placer_is_gone(fault: Fault) -> None:
+def test_a_team_starts_again_soon_after_its_controller_is_gone(fault: Fault) -> None:
     """Measured from the fault to the next start of the team's work, machines being at hand."""
     world = World(340)
 
@@ -248,14 +249,14 @@
         for number in range(2):
             await world.submit(job(number, entries=8, expect_s=20.0))
         await anyio.sleep(40.0)
-        assignment = world.store.items["s/t/red"][0]["p"]
-        world.network.tasks.start_soon(fault, world, int(assignment[-1]))
+        assignee = world.store.items["s/t/red"][0]["p"]
+        world.network.tasks.start_soon(fault, world, int(assignee[-1]))
         began = now()
-        while now() - began < 2 * REPORT:
+        while now() - began < 2 * REPORT_S:
             number = int(now() * 100) % 10**6
             spec = job(number, entries=1)
             world.specs[spec["id"]] = spec
-            others = [i for i in range(3) if f"node-{i}" != assignment]
+            others = [i for i in range(3) if f"node-{i}" != assignee]
             world.network.tasks.start_soon(
                 world.ask, "POST", "/work", spec, world.rng.choice(others)
             )
@@ -266,7 +267,7 @@
             if key.startswith("s/j/job-") and isinstance(value, dict) and value.get("l")
             if at > began + 0.2
         ]
-        assert starts and min(starts) - began <= (2.0 if fault is ends else 2 * REPORT)
+        assert starts and min(starts) - began <= (2.0 if fault is ends else 2 * REPORT_S)
 
     run(world, main)
     assert world.broken == []
