--- a/src/sandladder/membership/__init__.py
+++ b/src/sandladder/membership/__init__.py
@@ -9,12 +9,13 @@
 loses time, and no rule is broken.  See docs/membership.md.
 """
 
+from sandladder.membership.changes import ChangeKind, MembershipChange
 from sandladder.membership.controller_lease import ControllerLease
 from sandladder.membership.failure_detector import FailureDetector
 from sandladder.membership.health import HealthAssessment, HealthLevel, PeerStatus
 from sandladder.membership.inventory_writer import AgentInventory, InventoryWriter
 from sandladder.membership.phi_accrual import MAX_PHI, PhiAccrualWindow
-from sandladder.membership.policy import ChangeKind, MembershipChange, MembershipPolicy
+from sandladder.membership.policy import MembershipPolicy
 from sandladder.membership.roster import RosterRecords, may_place
 from sandladder.membership.roster_transitions import RosterTransition
 from sandladder.membership.service import MembershipService
--- a/src/sandladder/membership/policy.py
+++ b/src/sandladder/membership/policy.py
@@ -7,15 +7,18 @@
 the steady clock, except the time of day, which is called `wall`.
 """
 
-import enum
-import logging
-import math
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from sandladder.membership import roster_transitions as transitions
-from sandladder.membership.failure_detector import NO_LEASE, FailureDetector
+from sandladder.membership.changes import (
+    ChangeContext,
+    ChangeKind,
+    MembershipChange,
+    transition_of,
+)
+from sandladder.membership.failure_detector import FailureDetector
 from sandladder.membership.health import HealthAssessment, HealthLevel
+from sandladder.membership.member_health import MemberHealth
 from sandladder.membership.roster import (
     RosterRecords,
     home_controllers,
@@ -26,8 +29,6 @@
 from sandladder.model import IN, OUT, SCHEMA_V1, SUSPECT, Member, TeamAssignment
 from sandladder.state import ROSTER, StateCache
 
-log = logging.getLogger(__name__)
-
 # In intervals between an agent's heartbeats (`report_s`):
 # A silence that may be a moment's slowness is tolerated for so long; one of a controller that
 # refused the connection to all who tried is not.
@@ -50,29 +51,6 @@
 _MIN_WITNESSES = 2
 
 
-class ChangeKind(enum.Enum):
-    """What is to be changed in the roster or in a team's record."""
-
-    JOIN = "join"  # this process becomes a member
-    LEAVE = "leave"  # this process shuts down
-    REFUTE = "refute"  # this process is suspected, and lives
-    SUSPECT = "suspect"  # another member
-    CLEAR = "clear"  # another member of the suspicion
-    EVICT = "evict"  # another member
-    CLAIM = "claim"  # a team that is this controller's by the records
-    RETURN = "return"  # a team to its home
-
-
-class MembershipChange(NamedTuple):
-    """Something to commit: what, about whom, and what that was decided on."""
-
-    kind: ChangeKind
-    subject: str = ""  # the member or the team; "": this process
-    observed: Member | TeamAssignment | None = None
-    evidence: str = ""
-    assignee: str = ""  # RETURN: the member that gets the team
-
-
 class _PendingKey(NamedTuple):
     """A condition on a member in one incarnation that must last before something follows."""
 
@@ -99,15 +77,19 @@
         self.detector = detector
         self.node = detector.node
         self.homes = home_controllers(teams, nodes)
-        self.assessments: dict[str, HealthAssessment] = {}
         self._cache = cache
+        self._health = MemberHealth(detector, cache)
         # Since when each condition has lasted.
         self._pending_since: dict[_PendingKey, float] = {}
         self._assignments: dict[str, TeamAssignment] = {}
         self._reassigned_at = 0.0  # when an assignment last changed
-        self._unstable_at = math.inf  # when some member was last not healthy
         self._able_since: float | None = None  # since when this process could have acted
 
+    @property
+    def assessments(self) -> dict[str, HealthAssessment]:
+        """The latest assessment of each peer, by name; empty before the first decision."""
+        return self._health.assessments
+
     @property
     def settling_time_s(self) -> float:
         """How long a member must have been healthy, the first time, to get its teams back."""
@@ -121,7 +103,7 @@
             wall: the time of day.
             own: this process if it may act: its lease lasts and it could write.
         """
-        self._assess_peers(now)
+        self._health.update(now)
         self._note_assignments(now)
         if own is None or not self._roster_usable:
             self._able_since = None
@@ -144,79 +126,30 @@
 
     def calm(self, now: float) -> bool:
         """Whether all members, this one among them, have been healthy for a while."""
-        return now - self._unstable_at >= _STABLE_TIME * self.detector.report_s
+        return self._health.all_healthy_s(now) >= _STABLE_TIME * self.detector.report_s
 
     def transition(
         self, change: MembershipChange, cache: StateCache, own: TeamAssignment, wall: float
     ) -> RosterTransition:
-        """The transition of these records that a change is.
+        """The transition that a change is of the records as they are when it is tried.
 
         Args:
             change: what was decided.
-            cache: the records as they are when the change is tried.
+            cache: the records.
             own: this process.
             wall: the time of day.
 
         Raises:
-            PreconditionFailedError: what the change was decided on does not hold any more.
+            PreconditionFailedError: what the change was decided on is no longer so.
         """
-        records = RosterRecords.of(cache)
-        subject, observed = change.subject, change.observed
-        match change.kind:
-            case ChangeKind.JOIN:
-                return transitions.join(records, self.node, own.term, wall, self.homes)
-            case ChangeKind.LEAVE:
-                return transitions.leave(records, self.node, own.term, wall)
-            case ChangeKind.REFUTE:
-                return transitions.refute(records, self.node, own.term)
-            case ChangeKind.CLAIM:
-                home = self.homes.get(subject, self.node)
-                return transitions.claim(records, subject, home, own)
-            case ChangeKind.RETURN:
-                assert isinstance(observed, TeamAssignment)
-                return transitions.reassign(records, subject, change.assignee, observed)
-        assert isinstance(observed, Member)
-        match change.kind:
-            case ChangeKind.SUSPECT:
-                return transitions.suspect(records, subject, observed, change.evidence)
-            case ChangeKind.CLEAR:
-                return transitions.clear(records, subject, observed)
-            case ChangeKind.EVICT:
-                return transitions.evict(
-                    records, subject, observed, change.evidence, wall, self.settling_time_s
-                )
-
-    # Assessments
+        context = ChangeContext(own, self.homes, wall, self.settling_time_s)
+        return transition_of(change, RosterRecords.of(cache), context)
 
     @property
     def _roster_usable(self) -> bool:
         """Whether there is a roster to write: the schema has one, and it can be read."""
         return self._cache.schema_version != SCHEMA_V1 and ROSTER not in self._cache.unreadable
 
-    def _assess_peers(self, now: float) -> None:
-        """Judge the others, log each change of level with its evidence, and note instability."""
-        self.detector.record_leases(self._cache.nodes.keys() | self._cache.unreadable_nodes)
-        for node in self.detector.peers():
-            assessment = self.detector.assess(node, now)
-            before = self.assessments.get(node)
-            self.assessments[node] = assessment
-            if before is None or before.level != assessment.level:
-                _log_assessment(node, before, assessment)
-        unhealthy = self.detector.is_late or any(
-            member.state == SUSPECT or (member.state == IN and self._is_unhealthy_peer(node))
-            for node, member in self._cache.roster.items()
-        )
-        if unhealthy or self._unstable_at == math.inf:
-            self._unstable_at = now
-
-    def _is_unhealthy_peer(self, node: str) -> bool:
-        assessment = self.assessments.get(node)
-        return assessment is not None and not assessment.can_serve
-
-    def _can_serve(self, node: str) -> bool:
-        assessment = self.assessments.get(node)
-        return node == self.node or (assessment is not None and assessment.can_serve)
-
     def _note_assignments(self, now: float) -> None:
         if self._cache.assignments != self._assignments:
             self._assignments = dict(self._cache.assignments)
@@ -248,7 +181,7 @@
         for node, member in self._cache.roster.items():
             if node == self.node or member.state == OUT:
                 continue
-            assessment = self._assessment_of_member(node)
+            assessment = self._health.of_member(node)
             if assessment is None:
                 continue
             kind = self._change_of(node, member, assessment, now, lasting)
@@ -263,16 +196,6 @@
         }
         return changes
 
-    def _assessment_of_member(self, node: str) -> HealthAssessment | None:
-        """The health of another member; None if nothing may be concluded.
-
-        For one that these settings do not name, its lease alone says whether it lives.
-        """
-        known = self.assessments.get(node)
-        if known is not None or node in self._cache.nodes:
-            return known
-        return HealthAssessment(HealthLevel.EXPIRED, NO_LEASE)
-
     def _change_of(
         self,
         node: str,
@@ -325,11 +248,7 @@
         one does not.
         """
         due_since = self._pending_since.setdefault(key, now)
-        rank = sum(
-            1
-            for node, member in self._cache.roster.items()
-            if node < self.node and member.state == IN and self._can_serve(node)
-        )
+        rank = sum(node < self.node for node in self._health.serving_members())
         return now - due_since >= rank * _RANK_DELAY * self.detector.heartbeat_interval_s
 
     # Teams that go home
@@ -339,7 +258,7 @@
         stable_s = _STABLE_TIME * self.detector.report_s
         if not self.calm(now) or now - self._reassigned_at < stable_s:
             return []
-        if self._first_healthy_member() != self.node:
+        if min(self._health.serving_members(), default="") != self.node:
             return []
         for team, home in self.homes.items():
             assignment = self._cache.assignments.get(team)
@@ -349,12 +268,6 @@
                 return [MembershipChange(ChangeKind.RETURN, team, assignment, assignee=home)]
         return []
 
-    def _first_healthy_member(self) -> str:
-        """The first member in order that can serve; "" if there is none."""
-        members = self._cache.roster.items()
-        healthy = (node for node, member in members if member.state == IN and self._can_serve(node))
-        return min(healthy, default="")
-
     def _may_go_home(self, home: str, wall: float) -> bool:
         """Whether a team's home is in, healthy, and has been for its settling time."""
         member = self._cache.roster.get(home)
@@ -363,11 +276,3 @@
         if home != self.node and self.assessments[home].level is not HealthLevel.HEALTHY:
             return False
         return wall - member.since >= settling_time_s(member, self.settling_time_s)
-
-
-def _log_assessment(
-    node: str, before: HealthAssessment | None, assessment: HealthAssessment
-) -> None:
-    evidence = f": {assessment.evidence}" if assessment.evidence else ""
-    former = f", was {before.level.name.lower()}" if before is not None else ""
-    log.info("controller %s is %s%s%s", node, assessment.level.name.lower(), former, evidence)
--- a/src/sandladder/membership/service.py
+++ b/src/sandladder/membership/service.py
@@ -9,9 +9,10 @@
 from sandladder import clock
 from sandladder.concurrency import Signal
 from sandladder.membership import roster_transitions
+from sandladder.membership.changes import ChangeKind, MembershipChange
 from sandladder.membership.failure_detector import FailureDetector
 from sandladder.membership.health import HealthLevel, PeerStatus
-from sandladder.membership.policy import ChangeKind, MembershipChange, MembershipPolicy
+from sandladder.membership.policy import MembershipPolicy
 from sandladder.membership.roster import RosterRecords, rightful_assignee
 from sandladder.membership.worker_assignment import WorkerLoad
 from sandladder.model import IN, SUSPECT, MachineInventory, Member, TeamAssignment
--- a/tools/handover.py
+++ b/tools/handover.py
@@ -6,7 +6,7 @@
 Plays every kind of fault on the controller that places the first team, among 3 and among 7
 controllers (`tests/membership/cluster.py`: the real policies and records, in virtual time), and
 prints one row of a table for each: seconds from the fault to the first suspicion and to the
-hand-over, moves of teams in all, and how often one was doubted or given up that should not have
+hand-over, moves of teams in all, and how often one was suspected or evicted that should not have
 been.  Then so many hours without any fault but slow moments.
 """
 
