--- a/src/sandladder/membership/controller_lease.py
+++ b/src/sandladder/membership/controller_lease.py
@@ -42,8 +42,9 @@
 class ControllerLease:
     """Acquires and renews this controller's lease, and says whether it surely lasts.
 
-    While it does, and only then, this controller answers agents and acts.  Under it stand the
-    controller's presence, its inventory, and its fencing token, which no other controller has.
+    While it does, and only then, this controller answers agents and acts.  The inventory, which is
+    the controller's presence, is attached to the lease; with each lease comes a fencing token that
+    no other process has.
     """
 
     def __init__(
@@ -109,7 +110,7 @@
         return self._present and renewal is not None and clock.now() < renewal.until
 
     def observe(self) -> None:
-        """The records changed: see whose inventory stands under this controller's name.
+        """The records changed: see whose inventory is stored under this controller's name.
 
         The platform runs one process of each controller.  Should there be two all the same, the one
         that acquired its lease last stays, and the other is fenced until that one's lease ends.
--- /dev/null
+++ b/tests/peers/test_peer_transport.py
@@ -0,0 +1,176 @@
+"""Connections between controllers, over real sockets of this machine."""
+
+import socket
+from collections.abc import Awaitable, Callable
+
+import anyio
+import anyio.abc
+import msgspec
+import pytest
+
+from sandladder.config import Peer
+from sandladder.transport import ChangeNotice, PeerConnection, PeerHeartbeat, peer_transport
+from sandladder.transport.peer_messages import MAX_FRAME_BYTES, Message, encode_frame
+
+INTERVAL_S = 0.1
+PATIENCE_S = 5.0
+HEARTBEAT = PeerHeartbeat("node-0", True, 3)
+
+
+def free_address() -> str:
+    with socket.create_server(("127.0.0.1", 0)) as server:
+        return f"127.0.0.1:{server.getsockname()[1]}"
+
+
+class Receiver:
+    """A controller that receives, and what it received."""
+
+    def __init__(self, max_connections: int = 8, idle_timeout_s: float = PATIENCE_S) -> None:
+        self.addr = free_address()
+        self.received: list[Message] = []
+        self._limits = max_connections, idle_timeout_s
+
+    async def serve(self, *, task_status: anyio.abc.TaskStatus[None]) -> None:
+        async with anyio.create_task_group() as tasks:
+            tasks.start_soon(peer_transport.serve, self.addr, *self._limits, self.received.append)
+            await until(lambda: listens(self.addr))
+            task_status.started()
+
+    async def connect(self) -> anyio.abc.SocketStream:
+        host, port = self.addr.rsplit(":", 1)
+        return await anyio.connect_tcp(host, int(port))
+
+
+class Sender:
+    """A connection to a controller, and the changes of it that were announced."""
+
+    def __init__(self, addr: str) -> None:
+        self.changes: list[tuple[str, bool]] = []
+        peer = Peer(node_name="node-1", addr=addr)
+        self.connection = PeerConnection(
+            peer, INTERVAL_S, lambda node, refused: self.changes.append((node, refused))
+        )
+
+    async def run(self) -> None:
+        await self.connection.run(lambda: HEARTBEAT)
+
+
+def listens(addr: str) -> bool:
+    host, port = addr.rsplit(":", 1)
+    with socket.socket() as probe:
+        return probe.connect_ex((host, int(port))) == 0
+
+
+async def until(condition: Callable[[], bool]) -> None:
+    with anyio.fail_after(PATIENCE_S):
+        while not condition():
+            await anyio.sleep(0.01)
+
+
+async def closed(stream: anyio.abc.SocketStream) -> None:
+    """Wait until the other side closes a connection."""
+    with (
+        anyio.fail_after(PATIENCE_S),
+        pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)),
+    ):
+        await stream.receive()
+
+
+def run(main: Callable[[anyio.abc.TaskGroup], Awaitable[None]]) -> None:
+    """Run with a task group that is cancelled at the end."""
+
+    async def with_tasks() -> None:
+        async with anyio.create_task_group() as tasks:
+            await main(tasks)
+            tasks.cancel_scope.cancel()
+
+    anyio.run(with_tasks)
+
+
+def test_queued_messages_and_heartbeats_arrive_in_order() -> None:
+    receiver = Receiver()
+    sender = Sender(receiver.addr)
+
+    async def main(tasks: anyio.abc.TaskGroup) -> None:
+        await tasks.start(receiver.serve)
+        tasks.start_soon(sender.run)
+        await until(lambda: len(receiver.received) >= 3)
+        for revision in range(3):
+            sender.connection.send(ChangeNotice(revision))
+        await until(lambda: ChangeNotice(2) in receiver.received)
+
+    run(main)
+    notices = [message for message in receiver.received if isinstance(message, ChangeNotice)]
+    assert notices == [ChangeNotice(revision) for revision in range(3)]
+    assert HEARTBEAT in receiver.received
+    assert sender.changes == [("node-1", False)]
+
+
+def test_a_refused_connection_is_announced_and_what_was_queued_is_dropped() -> None:
+    receiver = Receiver()
+    sender = Sender(receiver.addr)
+
+    async def main(tasks: anyio.abc.TaskGroup) -> None:
+        sender.connection.send(ChangeNotice(1))
+        tasks.start_soon(sender.run)
+        await until(lambda: len(sender.changes) >= 2)
+        await tasks.start(receiver.serve)
+        await until(lambda: HEARTBEAT in receiver.received)
+
+    run(main)
+    assert sender.changes[:2] == [("node-1", True), ("node-1", True)]
+    assert sender.changes[-1] == ("node-1", False)
+    assert ChangeNotice(1) not in receiver.received
+
+
+def test_a_connection_that_the_peer_closed_is_made_anew() -> None:
+    receiver = Receiver(max_connections=0)  # each connection is closed at once
+    sender = Sender(receiver.addr)
+
+    async def main(tasks: anyio.abc.TaskGroup) -> None:
+        await tasks.start(receiver.serve)
+        tasks.start_soon(sender.run)
+        await until(lambda: len(sender.changes) >= 3)
+
+    run(main)
+    assert set(sender.changes) == {("node-1", False)}
+    assert receiver.received == []
+
+
+def test_a_message_of_an_unknown_kind_is_ignored_and_the_next_one_counts() -> None:
+    receiver = Receiver()
+    unknown = msgspec.msgpack.encode(["greeting", 1])
+
+    async def main(tasks: anyio.abc.TaskGroup) -> None:
+        await tasks.start(receiver.serve)
+        async with await receiver.connect() as stream:
+            frame = len(unknown).to_bytes(4, "big") + unknown
+            await stream.send(frame + encode_frame(ChangeNotice(5)))
+            await until(lambda: bool(receiver.received))
+
+    run(main)
+    assert receiver.received == [ChangeNotice(5)]
+
+
+def test_a_connection_with_a_frame_of_an_impossible_length_is_closed() -> None:
+    receiver = Receiver()
+
+    async def main(tasks: anyio.abc.TaskGroup) -> None:
+        await tasks.start(receiver.serve)
+        async with await receiver.connect() as stream:
+            await stream.send((MAX_FRAME_BYTES + 1).to_bytes(4, "big"))
+            await closed(stream)
+
+    run(main)
+    assert receiver.received == []
+
+
+def test_an_idle_connection_is_closed() -> None:
+    receiver = Receiver(idle_timeout_s=0.1)
+
+    async def main(tasks: anyio.abc.TaskGroup) -> None:
+        await tasks.start(receiver.serve)
+        async with await receiver.connect() as stream:
+            await closed(stream)
+
+    run(main)
