--- a/src/sandladder/scheduling/__init__.py
+++ b/src/sandladder/scheduling/__init__.py
@@ -24,9 +24,10 @@
 from sandladder.scheduling.machine_observations import MachineDeparture, MachineObservation
 from sandladder.scheduling.machine_selection import MachineSelector
 from sandladder.scheduling.planner import Planner
-from sandladder.scheduling.preemption import PreemptionPolicy, PreemptionVictim, WaitingTask
+from sandladder.scheduling.preemption import PreemptionPolicy
 from sandladder.scheduling.premises import Outcome, PendingStart, PremiseKind, Resource
 from sandladder.scheduling.reservation import Reservation
+from sandladder.scheduling.victim_selection import PreemptionVictim, WaitingTask
 
 __all__ = [
     "Backlog",
--- a/src/sandladder/scheduling/cluster_view.py
+++ b/src/sandladder/scheduling/cluster_view.py
@@ -78,8 +78,8 @@
         self.services = self.free_capacities.service_cpus
         self.avoids_gpus = self.gpu_protection.avoids_gpus
         self.observation = self.observations.get
-        self.outlook = self.priorities.outlook
-        self.since = self.priorities.since
+        self.outlook = self.priorities.scheduling_priority
+        self.since = self.priorities.waiting_since
         self.can_wait_for_boot = self.priorities.can_wait_for_boot
 
     # Time
@@ -238,7 +238,7 @@
         spec = job.spec
         usage = self.cache.used.get(spec.team, NO_USAGE)
         within = within_guarantee(self.limits.get(spec.team), usage, spec)
-        priority = self.priorities.outlook(job).priority
+        priority = self.priorities.scheduling_priority(job).priority
         return -priority, 0 if within else 1, self.priorities.latest_start(job)
 
     def team_left(self, team: str) -> Headroom:
--- a/src/sandladder/scheduling/gate.py
+++ b/src/sandladder/scheduling/gate.py
@@ -75,7 +75,7 @@
 
     def admit(self, pending_start: PendingStart, evidence: Evidence) -> None:
         """Keep a decision with the versions of what it was decided on."""
-        pending_start.read = {
+        pending_start.read_versions = {
             premise.resource: evidence.version(premise.resource)
             for premise in pending_start.premises
         }
@@ -118,7 +118,7 @@
         """
         differing = {
             resource
-            for resource, version in pending_start.read.items()
+            for resource, version in pending_start.read_versions.items()
             if evidence.version(resource) != version
         }
         self.full_scan += len(pending_start.premises)
@@ -147,6 +147,6 @@
             if outcome > worst:
                 worst, reason = outcome, premise.kind
         for resource in through:
-            pending_start.read[resource] = evidence.version(resource)
+            pending_start.read_versions[resource] = evidence.version(resource)
         self.verdicts[worst.name.lower()] += 1
         return Verdict(pending_start, worst, reason)
--- a/src/sandladder/scheduling/job_priorities.py
+++ b/src/sandladder/scheduling/job_priorities.py
@@ -42,17 +42,17 @@
         self.aged_s = AGED_LEASES * workers.lease_s
         self._deadlines: dict[str, _StartDeadline] = {}
 
-    def outlook(self, job: Job) -> SchedulingPriority:
+    def scheduling_priority(self, job: Job) -> SchedulingPriority:
         """Its priority and when it is due, with all that depend on it."""
         return self._cache.dependency_index.outlook(job, self.stage_s)
 
-    def since(self, job: Job) -> float:
+    def waiting_since(self, job: Job) -> float:
         """From when its times count."""
         return self._cache.dependency_index.since(job)
 
     def waited_s(self, job: Job) -> float:
         """How long a job has waited, in seconds."""
-        return self._time.wall - self.since(job)
+        return self._time.wall - self.waiting_since(job)
 
     def latest_start(self, job: Job) -> float:
         """By when it must start to meet its objectives, or those of jobs that depend on it."""
@@ -99,7 +99,7 @@
         Seen in a measured day: with some hundred jobs waiting, a third of each round of
         planning went into working this out again.
         """
-        priority, types = self.outlook(job), self._cache.types
+        priority, types = self.scheduling_priority(job), self._cache.types
         known = self._deadlines.get(job.id)
         if (
             known is not None
@@ -109,7 +109,7 @@
         ):
             return known
         spec = job.spec
-        latest = self.since(job) + self._start_within_s.get(spec.cls, _NO_OBJECTIVE_S)
+        latest = self.waiting_since(job) + self._start_within_s.get(spec.cls, _NO_OBJECTIVE_S)
         latest = min(latest, priority.due - self.stage_s(spec))
         waits_until = latest - _PATIENCE_BOOTS * self.boot_s(spec)
         deadline = _StartDeadline(job, priority, types, latest, waits_until)
--- a/src/sandladder/scheduling/machine_selection.py
+++ b/src/sandladder/scheduling/machine_selection.py
@@ -33,28 +33,29 @@
     def __init__(self, cluster_view: ClusterView, rng: Random) -> None:
         self._cluster_view = cluster_view
         self._rng = rng
-        self.waits = cluster_view.settings.waits  # by class, the time to start within, in seconds
-        self.avoid: dict[str, set[str]] = {}  # by job, the machines that it failed on
-        self.again_s = math.inf  # after so long the selection may look different by itself
+        # By class, the time within which its tasks should start, in seconds.
+        self.start_within_s = cluster_view.settings.waits
+        self.failed_machines: dict[str, set[str]] = {}  # by job, the machines that it failed on
+        self.next_change_s = math.inf  # after so long the selection may look different by itself
 
-    def in_time(self, job: Job) -> Suits | None:
+    def starts_in_time(self, job: Job) -> Suits | None:
         """Where a job's tasks would start in time, images and all, while that is insisted on.
 
         Capacity comes free all the while: a task that is started a moment later where its image
         is starts earlier than one that waits for the fetch.
         """
         cluster_view, spec = self._cluster_view, job.spec
-        within_s = self.waits.get(spec.cls)
+        within_s = self.start_within_s.get(spec.cls)
         if within_s is None:
             return None
         waited_s = cluster_view.priorities.waited_s(job)
         left_s = _INSIST_SHARE * within_s - waited_s
         if left_s <= 0:
             return None
-        self.again_s = min(self.again_s, left_s)
+        self.next_change_s = min(self.next_change_s, left_s)
         return lambda capacity: waited_s + cluster_view.fetch_s(spec, capacity) <= within_s
 
-    def choose(
+    def select(
         self,
         spec: JobSpec,
         capacities: dict[str, FreeCapacity],
@@ -74,42 +75,37 @@
         Returns:
             A machine for each task that found one, with what was free on it before.
         """
+        zone_counts = Counter(zones)
+        sample = self._sample(spec, capacities, zones, count, suits, zone_counts)
+        most_in_zone = (spec.tasks + 1) // 2 if spec.spread else len(zones) + count
+        return _pack(spec, sample, zone_counts, count, most_in_zone)
+
+    def _sample(
+        self,
+        spec: JobSpec,
+        capacities: dict[str, FreeCapacity],
+        zones: list[str],
+        count: int,
+        suits: Suits | None,
+        zone_counts: Counter[str],
+    ) -> "_Sample":
+        """A sample of the machines that a job may use; arguments as in `select`."""
+        cluster_view = self._cluster_view
         machines = self._without_failed(spec, list(capacities.values()))
         if spec.one_zone:
             if suits is not None:
                 machines = [capacity for capacity in machines if suits(capacity)]
             machines, suits = _of_one_zone(spec, machines, zones), None
-        zone_counts = Counter(zones)
-        most_in_zone = (spec.tasks + 1) // 2 if spec.spread else len(zones) + count
-        cost = PlacementCost(spec, self._cluster_view, self.waits.get(spec.cls))
+        cost = PlacementCost(spec, cluster_view, self.start_within_s.get(spec.cls))
         close_fit = cost.close_fit
-        if not any(name in capacities for name in self._cluster_view.images.candidates(spec.image)):
-            close_fit += self._cluster_view.priorities.least_fetch_s(spec)
-        size = self._cluster_view.settings.operator.sample * count
-        sample = _Sample(machines, suits, cost, zone_counts, close_fit, size, self._rng)
-        chosen: list[FreeCapacity] = []
-        while len(chosen) < count:
-            if sample.is_wanting():
-                sample.grow()
-                continue
-            best = sample.pop_best()
-            if best is None:
-                break
-            capacity = best[2]
-            if zone_counts[capacity.zone] >= most_in_zone:
-                continue
-            if spec.kind == SERVICE and zone_counts and sample.is_outdated(best):
-                continue
-            chosen.append(capacity)
-            zone_counts[capacity.zone] += 1
-            remaining = capacity.minus(spec)
-            if remaining.can_take(spec):
-                sample.push(best[1], remaining)
-        return chosen
+        if not any(name in capacities for name in cluster_view.images.candidates(spec.image)):
+            close_fit += cluster_view.priorities.least_fetch_s(spec)
+        size = cluster_view.settings.operator.sample * count
+        return _Sample(machines, suits, cost, zone_counts, close_fit, size, self._rng)
 
     def _without_failed(self, spec: JobSpec, machines: list[FreeCapacity]) -> list[FreeCapacity]:
         """The machines on which a job has not failed, or all if it failed on each."""
-        failed_on = self.avoid.get(spec.id)
+        failed_on = self.failed_machines.get(spec.id)
         if not failed_on:
             return machines
         return [capacity for capacity in machines if capacity.id not in failed_on] or machines
@@ -186,6 +182,31 @@
         return False
 
 
+def _pack(
+    spec: JobSpec, sample: _Sample, zone_counts: Counter[str], count: int, most_in_zone: int
+) -> list[FreeCapacity]:
+    """Put each of so many tasks on the machine that is cheapest then; the machines."""
+    chosen: list[FreeCapacity] = []
+    while len(chosen) < count:
+        if sample.is_wanting():
+            sample.grow()
+            continue
+        best = sample.pop_best()
+        if best is None:
+            break
+        _, index, capacity = best
+        if zone_counts[capacity.zone] >= most_in_zone:
+            continue
+        if spec.kind == SERVICE and zone_counts and sample.is_outdated(best):
+            continue
+        chosen.append(capacity)
+        zone_counts[capacity.zone] += 1
+        remaining = capacity.minus(spec)
+        if remaining.can_take(spec):
+            sample.push(index, remaining)
+    return chosen
+
+
 def _of_one_zone(
     spec: JobSpec, machines: list[FreeCapacity], zones: list[str]
 ) -> list[FreeCapacity]:
--- a/src/sandladder/scheduling/planner.py
+++ b/src/sandladder/scheduling/planner.py
@@ -33,13 +33,13 @@
         self.limits = limits
         self.selector = MachineSelector(cluster_view, rng)
         self.reservation = Reservation(cluster_view)
-        self.avoid = self.selector.avoid  # by job, the machines that it failed on
+        self.avoid = self.selector.failed_machines  # by job, the machines that it failed on
         self.urgent = False  # whether work that must start at once waited in the last round
 
     @property
     def again_s(self) -> float:
         """After so long, in seconds, a plan may look different by itself."""
-        return self.selector.again_s
+        return self.selector.next_change_s
 
     def most_live(self, spec: JobSpec) -> int:
         """How many tasks of a job may be live, for its record to fit the store."""
@@ -64,7 +64,7 @@
             The pending starts that were admitted to the gate.
         """
         cluster_view = self.cluster_view
-        self.selector.again_s = math.inf
+        self.selector.next_change_s = math.inf
         planned = self._planned(owned, backing_off, least)
         self.urgent = self._any_urgent(planned)
         pending = _PendingWork(cluster_view.gate)
@@ -202,12 +202,12 @@
         cluster_view, spec = self.cluster_view, job.spec
         zones = [attempt.zone for attempt in job.live.values()]
         zones += [start.placement.zone for start in pending.of_job(job)]
-        suits: Suits | None = self.selector.in_time(job)
+        suits: Suits | None = self.selector.starts_in_time(job)
         if with_image_only:
             with_image = cluster_view.images.candidates(spec.image)
             capacities = {name: capacities[name] for name in with_image if name in capacities}
             suits = self._has_image_and(spec, suits)
-        return self.selector.choose(spec, capacities, zones, count, suits)
+        return self.selector.select(spec, capacities, zones, count, suits)
 
     def _has_image_and(self, spec: JobSpec, suits: Suits | None) -> Suits:
         """Whether a machine has a job's image, and suits otherwise."""
--- a/src/sandladder/scheduling/preemption.py
+++ b/src/sandladder/scheduling/preemption.py
@@ -4,66 +4,25 @@
 """
 
 from collections.abc import Iterable, Iterator
-from typing import NamedTuple
 
-from sandladder.model import (
-    ARRAY,
-    GANG,
-    NO_USAGE,
-    PRODUCTION,
-    SERVICE,
-    Attempt,
-    Job,
-    JobSpec,
-    zones_allowed,
-)
+from sandladder.model import GANG, NO_USAGE, PRODUCTION, SERVICE, Job
 from sandladder.scheduling.cluster_view import ClusterView
-from sandladder.scheduling.free_capacity import FreeCapacity, allowed, fits
+from sandladder.scheduling.free_capacity import FreeCapacity, allowed
 from sandladder.scheduling.machine_observations import MachineDeparture
 from sandladder.scheduling.machine_selection import MachineSelector
+from sandladder.scheduling.victim_selection import GRACE, PreemptionVictim, VictimSelector
 
-# A stopped task may take so many times as long as its checkpoint takes.
-_GRACE = 1.5
-# What the loss of a task costs where it writes a checkpoint first, as a share of its run.
-_CHECKPOINTED_LOSS = 0.2
 # After so many heartbeat intervals a victim that did not come to an end is chosen again.
 _CLAIM_HEARTBEATS = 2
 
 
-class WaitingTask(NamedTuple):
-    """A task for which another is preempted."""
-
-    job: str
-    task: int
-
-    def __str__(self) -> str:
-        return f"{self.job}/{self.task}"
-
-
-class PreemptionVictim(NamedTuple):
-    """A running task that is to be stopped, and for what: more urgent work, or its move."""
-
-    job: str
-    task: int
-    machine: str
-    grace_s: float
-    reason: WaitingTask | MachineDeparture
-
-
-class _Running(NamedTuple):
-    """A running task on a machine."""
-
-    job: Job
-    task: int
-    attempt: Attempt
-
-
 class PreemptionPolicy:
     """Chooses the tasks that are to be preempted or moved."""
 
     def __init__(self, cluster_view: ClusterView, selector: MachineSelector) -> None:
         self._cluster_view = cluster_view
         self._selector = selector
+        self._victim_selector = VictimSelector(cluster_view, selector)
         self._report_s = cluster_view.settings.platform.deployment.workers.report_s
         # Waiting tasks that others are stopped for, and replicas that are moved, until when.
         self._claims: dict[tuple[str, int], float] = {}
@@ -101,7 +60,7 @@
             if backing_off.get(job.id, 0.0) > cluster_view.now:
                 continue
             for task in self._unclaimed(job):
-                found = self._victims(job, task, within_s, chosen, emptied)
+                found = self._victim_selector.select(job, task, within_s, chosen, emptied)
                 if found is None:
                     break
                 self._claims[job.id, task] = cluster_view.now + _CLAIM_HEARTBEATS * self._report_s
@@ -129,7 +88,7 @@
         None if nothing is stopped for it: machines boot in time, it is a gang, or it has no
         such objective.
         """
-        within_s = self._selector.waits.get(job.spec.cls)
+        within_s = self._selector.start_within_s.get(job.spec.cls)
         if within_s is None or job.spec.kind == GANG:
             return None
         boot_s = min(kind.boot_s for kind in self._cluster_view.cache.types.values())
@@ -147,81 +106,6 @@
             if key not in self._claims and key not in cluster_view.gate.pending:
                 yield task
 
-    def _victims(
-        self,
-        job: Job,
-        task: int,
-        within_s: float,
-        chosen: set[tuple[str, int]],
-        emptied: frozenset[str],
-    ) -> list[PreemptionVictim] | None:
-        """The cheapest set of tasks on one machine whose end frees enough for a waiting task.
-
-        Args:
-            job: the job of the waiting task.
-            task: the waiting task.
-            within_s: within which time it must start.
-            chosen: tasks that are to be stopped for others.
-            emptied: machines on which tasks are to be stopped for others.
-
-        Returns:
-            None if there is no such set, or if none is needed.
-        """
-        cluster_view, spec = self._cluster_view, job.spec
-        zones = [attempt.zone for attempt in job.live.values()]
-        in_time = self._selector.in_time(job)
-        waiting_task = WaitingTask(job.id, task)
-        best: tuple[float, list[PreemptionVictim]] | None = None
-        for machine, capacity in cluster_view.usable_capacities().items():
-            if machine in emptied or not allowed(spec, capacity):
-                continue
-            if not zones_allowed(spec, [*zones, capacity.zone]):
-                continue
-            if in_time is not None and not in_time(capacity):
-                continue
-            found = self._victims_on(capacity, spec, waiting_task, within_s, chosen)
-            if found is not None and (best is None or found[0] < best[0]):
-                best = found
-        return best[1] if best else None
-
-    def _victims_on(
-        self,
-        capacity: FreeCapacity,
-        spec: JobSpec,
-        waiting_task: WaitingTask,
-        within_s: float,
-        chosen: set[tuple[str, int]],
-    ) -> tuple[float, list[PreemptionVictim]] | None:
-        """The tasks on one machine whose end frees enough for a waiting task, and their cost."""
-        running = [_Running(*item) for item in self._cluster_view.cache.attempts_on(capacity.id)]
-        if any(item.attempt.stop is not None for item in running):
-            return None  # tasks are being stopped there already
-        cpus, gpus, memory_gb = capacity.cpus, capacity.gpus, capacity.memory_gb
-        cost = 2 * self._cluster_view.fetch_s(spec, capacity)
-        victims: list[PreemptionVictim] = []
-        running.sort(key=lambda item: (item.job.spec.priority, -item.attempt.attempt, -item.task))
-        for item in running:
-            if fits(spec, cpus, gpus, memory_gb):
-                break
-            lesser = item.job.spec
-            if lesser.priority >= spec.priority or lesser.kind != ARRAY:
-                continue
-            if (item.job.id, item.task) in chosen:
-                continue
-            cpus += lesser.cpus
-            gpus += lesser.gpus
-            memory_gb += lesser.memory_gb
-            saves = lesser.checkpoint_s > 0 and 2 * lesser.save_s < within_s
-            loss = _CHECKPOINTED_LOSS if saves else 1.0
-            cost += (lesser.estimate_s * lesser.cpus / spec.cpus) * loss
-            grace_s = _GRACE * lesser.save_s if saves else 0.0
-            victims.append(
-                PreemptionVictim(item.job.id, item.task, capacity.id, grace_s, waiting_task)
-            )
-        if not victims or not fits(spec, cpus, gpus, memory_gb):
-            return None
-        return cost, victims
-
     # Moves
 
     def moves(self, owned: Iterable[Job]) -> list[PreemptionVictim]:
@@ -250,7 +134,7 @@
                 capacities[target.id] = target.minus(job.spec)
                 until = cluster_view.now + _CLAIM_HEARTBEATS * self._report_s
                 self._claims[job.id, task] = until
-                grace_s = _GRACE * job.spec.save_s
+                grace_s = GRACE * job.spec.save_s
                 moves.append(PreemptionVictim(job.id, task, machine, grace_s, reason))
         return moves
 
@@ -281,5 +165,5 @@
             for name, capacity in capacities.items()
             if allowed(spec, capacity) and capacity.can_take(spec)
         }
-        chosen = self._selector.choose(spec, fitting, zones, 1)
+        chosen = self._selector.select(spec, fitting, zones, 1)
         return chosen[0] if chosen else None
--- a/src/sandladder/scheduling/premises.py
+++ b/src/sandladder/scheduling/premises.py
@@ -64,7 +64,14 @@
 class PendingStart:
     """A task that is to start, placed but not committed, with the premises of that decision."""
 
-    __slots__ = ("spec", "placement", "reporting_controller", "premises", "read", "under_way")
+    __slots__ = (
+        "spec",
+        "placement",
+        "reporting_controller",
+        "premises",
+        "read_versions",
+        "under_way",
+    )
 
     def __init__(
         self,
@@ -77,7 +84,7 @@
         self.placement = placement
         self.reporting_controller = reporting_controller
         self.premises = _premises(spec, placement, dependencies)
-        self.read: dict[Resource, int] = {}  # the versions that were last checked
+        self.read_versions: dict[Resource, int] = {}  # the versions that were last checked
         self.under_way = False  # it was let through for a commit whose outcome is not known
 
     @property
