--- a/src/sandladder/scheduling/machine_selection.py
+++ b/src/sandladder/scheduling/machine_selection.py
@@ -114,10 +114,10 @@
 class _Sample:
     """Machines drawn at random, the cheapest first.
 
-    It is in proportion to the tasks, and grows while the best is not a close fit with its image at
-    hand, up to `_MOST_SAMPLES` times: the best of so many is hardly worse than the best of all.
-    Only what is sampled is looked at: seen in a measured day, each job that was placed went several
-    times through all machines.
+    Its size is in proportion to the tasks, and it grows while the best is not a close fit with its
+    image at hand, up to `_MOST_SAMPLES` times: the best of so many is hardly worse than the best of
+    all.  Only what is sampled is looked at: seen in a measured day, each job that was placed went
+    several times through all machines.
     """
 
     def __init__(
--- a/src/sandladder/scheduling/planner.py
+++ b/src/sandladder/scheduling/planner.py
@@ -50,8 +50,8 @@
     ) -> list[PendingStart]:
         """Admit pending starts for as many waiting tasks as fit.
 
-        More urgent jobs of other controllers are placed on paper only: the capacity that they
-        are about to take, or that was freed for them, is not given to lesser work.
+        More urgent jobs of other controllers are placed too, but not admitted: the capacity that
+        they are about to take, or that was freed for them, is not given to lesser work.
 
         Args:
             owned: the jobs that this controller schedules.
@@ -88,7 +88,8 @@
                     self._reserve(job, pending)
                 continue
             if job.id in planned:
-                budget -= not known
+                if not known:
+                    budget -= 1
                 self._admit(placed)
                 admitted += placed
             known += placed
@@ -222,7 +223,7 @@
 class _PendingWork:
     """The starts that are not committed yet, by job, and what they use of their teams' limits.
 
-    Starts that are placed on paper only are counted too.
+    Starts of other controllers' jobs, which are placed but not admitted, are counted too.
     """
 
     def __init__(self, gate: Gate) -> None:
