--- a/src/sandladder/scheduling/planner.py
+++ b/src/sandladder/scheduling/planner.py
@@ -33,13 +33,13 @@
         self.limits = limits
         self.selector = MachineSelector(cluster_view, rng)
         self.reservation = Reservation(cluster_view)
-        self.avoid = self.selector.avoid  # by job, the machines that it failed on
+        self.avoid = self.selector.failed_machines  # by job, the machines that it failed on
         self.urgent = False  # whether work that must start at once waited in the last round
 
     @property
     def again_s(self) -> float:
         """After so long, in seconds, a plan may look different by itself."""
-        return self.selector.again_s
+        return self.selector.next_change_s
 
     def most_live(self, spec: JobSpec) -> int:
         """How many tasks of a job may be live, for its record to fit the store."""
@@ -50,8 +50,8 @@
     ) -> list[PendingStart]:
         """Admit pending starts for as many waiting tasks as fit.
 
-        More urgent jobs of other controllers are placed on paper only: the capacity that they
-        are about to take, or that was freed for them, is not given to lesser work.
+        More urgent jobs of other controllers are placed too, but not admitted: the capacity that
+        they are about to take, or that was freed for them, is not given to lesser work.
 
         Args:
             owned: the jobs that this controller schedules.
@@ -64,7 +64,7 @@
             The pending starts that were admitted to the gate.
         """
         cluster_view = self.cluster_view
-        self.selector.again_s = math.inf
+        self.selector.next_change_s = math.inf
         planned = self._planned(owned, backing_off, least)
         self.urgent = self._any_urgent(planned)
         pending = _PendingWork(cluster_view.gate)
@@ -88,7 +88,8 @@
                     self._reserve(job, pending)
                 continue
             if job.id in planned:
-                budget -= not known
+                if not known:
+                    budget -= 1
                 self._admit(placed)
                 admitted += placed
             known += placed
@@ -202,12 +203,12 @@
         cluster_view, spec = self.cluster_view, job.spec
         zones = [attempt.zone for attempt in job.live.values()]
         zones += [start.placement.zone for start in pending.of_job(job)]
-        suits: Suits | None = self.selector.in_time(job)
+        suits: Suits | None = self.selector.starts_in_time(job)
         if with_image_only:
             with_image = cluster_view.images.candidates(spec.image)
             capacities = {name: capacities[name] for name in with_image if name in capacities}
             suits = self._has_image_and(spec, suits)
-        return self.selector.choose(spec, capacities, zones, count, suits)
+        return self.selector.select(spec, capacities, zones, count, suits)
 
     def _has_image_and(self, spec: JobSpec, suits: Suits | None) -> Suits:
         """Whether a machine has a job's image, and suits otherwise."""
@@ -222,7 +223,7 @@
 class _PendingWork:
     """The starts that are not committed yet, by job, and what they use of their teams' limits.
 
-    Starts that are placed on paper only are counted too.
+    Starts of other controllers' jobs, which are placed but not admitted, are counted too.
     """
 
     def __init__(self, gate: Gate) -> None:
