--- a/src/sandladder/api/__init__.py
+++ b/src/sandladder/api/__init__.py
@@ -10,6 +10,7 @@
 answer than some controller gave before, and never commands agents.
 """
 
+from sandladder.api.admission import AdmissionCheck
 from sandladder.api.cancellation import CancellationService
 from sandladder.api.dependency_check import DependencyCheck
 from sandladder.api.forwarding import RequestForwarder
@@ -20,6 +21,7 @@
 from sandladder.api.submission import SubmissionService
 
 __all__ = [
+    "AdmissionCheck",
     "CancellationService",
     "DependencyCheck",
     "HealthCheck",
--- /dev/null
+++ b/src/sandladder/api/admission.py
@@ -0,0 +1,74 @@
+"""Decides whether a submitted job may be accepted."""
+
+from collections.abc import Callable
+
+import msgspec
+
+from sandladder.api.answers import NeverRunnable, RetryLater
+from sandladder.api.dependency_check import DependencyCheck
+from sandladder.api.job_lookup import JobLookup
+from sandladder.config import TeamLimits
+from sandladder.jobs import SubmittedDependencies, rejection
+from sandladder.model import GANG, SCHEMA_V1, Job, JobSpec
+from sandladder.protocol.job_messages import Submission
+from sandladder.state import StateCache, StoreLimits, job_value, split_value
+
+
+class AdmissionCheck:
+    """Checks that a job can run at some time, and that its record can be kept."""
+
+    def __init__(
+        self,
+        lookup: JobLookup,
+        dependency_check: DependencyCheck,
+        cache: StateCache,
+        store_limits: StoreLimits,
+        team_limits: dict[str, TeamLimits],
+        wall: Callable[[], float],
+    ) -> None:
+        """`team_limits`: by the team's name; `wall`: the time of day."""
+        self._lookup = lookup
+        self._dependency_check = dependency_check
+        self._cache = cache
+        self._store_limits = store_limits
+        self._team_limits = team_limits
+        self._wall = wall
+
+    async def check(
+        self, submission: Submission
+    ) -> SubmittedDependencies | NeverRunnable | RetryLater:
+        """What the jobs that a submission names mean for it, or why it is not accepted.
+
+        Raises and is cancelled as `DependencyCheck.check`.
+        """
+        if not self._cache.types:
+            return RetryLater("the machine types are not known yet")
+        spec, names = submission
+        reason = rejection(spec, self._cache.types, self._team_limits)
+        if reason is not None:
+            return NeverRunnable(reason)
+        dependencies = SubmittedDependencies()
+        if names:
+            if self._cache.schema_version == SCHEMA_V1 and await self._lookup.find(spec.id) is None:
+                # A controller of the version before would start it at once.
+                return RetryLater("not all controllers know of jobs that wait for others yet")
+            checked = await self._dependency_check.check(spec.id, names)
+            if isinstance(checked, NeverRunnable):
+                return checked
+            dependencies = checked
+        reason = self._too_large(spec, dependencies)
+        return dependencies if reason is None else NeverRunnable(reason)
+
+    def _too_large(self, spec: JobSpec, dependencies: SubmittedDependencies) -> str | None:
+        """Why the store could not keep this job, or None."""
+        record = job_value(Job(spec, self._wall(), dependencies.live))
+        if self._cache.schema_version == SCHEMA_V1:
+            size = len(msgspec.json.encode(record))
+        else:
+            parts = split_value(record, self._store_limits.value_bytes)
+            size = sum(len(msgspec.json.encode(part)) for part in parts)
+            if spec.kind == GANG and spec.tasks > self._store_limits.most_live(size):
+                return "so many tasks at a time are more than can be kept"
+        if size > self._store_limits.spec_room():
+            return "its description is too large to be kept"
+        return None
--- a/src/sandladder/api/cancellation.py
+++ b/src/sandladder/api/cancellation.py
@@ -92,7 +92,7 @@
             await self._committer.add(change).wait()
 
     def _reporting_controllers(self, job: Job) -> set[str]:
-        """The controllers to which the machines report on which the job has a start."""
+        """The reporting controllers of the machines on which the job has a start."""
         controllers = set()
         for attempt in job.live.values():
             observation = self._cluster_view.observation(attempt.machine)
--- a/src/sandladder/api/forwarding.py
+++ b/src/sandladder/api/forwarding.py
@@ -54,7 +54,7 @@
             if response is not None:
                 return response
             path = path_of(request)
-            log.info("the state service does not answer: forwarding %s to %s", path, peer)
+            log.info("the key-value store does not answer: forwarding %s to %s", path, peer)
         return await self._peers.relay(request, peer)
 
     def _able_peer(self, request: Request) -> str | None:
--- a/src/sandladder/api/submission.py
+++ b/src/sandladder/api/submission.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable
 
 import anyio
-import msgspec
 
+from sandladder.api.admission import AdmissionCheck
 from sandladder.api.answers import (
     AcceptedJob,
     Answer,
@@ -14,14 +14,12 @@
     RetryLater,
     UnknownJob,
 )
-from sandladder.api.dependency_check import DependencyCheck
 from sandladder.api.job_lookup import JobLookup
-from sandladder.config import TeamLimits
-from sandladder.jobs import SubmittedDependencies, rejection, submit
-from sandladder.model import GANG, SCHEMA_V1, Job, JobSpec
+from sandladder.jobs import SubmittedDependencies, submit
+from sandladder.model import JobSpec
 from sandladder.peers import PeerService
 from sandladder.protocol import MalformedMessageError
-from sandladder.protocol.job_messages import Submission, job_id_of, parse_submission
+from sandladder.protocol.job_messages import job_id_of, parse_submission
 from sandladder.state import (
     FINAL,
     P_USER,
@@ -29,10 +27,7 @@
     PendingChange,
     PreconditionFailedError,
     StateCache,
-    StoreLimits,
     Transaction,
-    job_value,
-    split_value,
 )
 
 # Puts that a submission takes.
@@ -50,11 +45,9 @@
         self,
         *,
         lookup: JobLookup,
-        dependency_check: DependencyCheck,
+        admission: AdmissionCheck,
         cache: StateCache,
         committer: GroupCommitter,
-        limits: StoreLimits,
-        team_limits: dict[str, TeamLimits],
         peers: PeerService,
         store_reachable: Callable[[], bool],
         wall: Callable[[], float],
@@ -62,11 +55,9 @@
     ) -> None:
         """`wall`: the time of day; `timeout_s`: how long a commit is waited for, in seconds."""
         self._lookup = lookup
-        self._dependency_check = dependency_check
+        self._admission = admission
         self._cache = cache
         self._committer = committer
-        self._limits = limits
-        self._team_limits = team_limits
         self._peers = peers
         self._store_reachable = store_reachable
         self._wall = wall
@@ -91,9 +82,7 @@
         spec = submission.spec
         if spec.id in self._cache.jobs or self._cache.final(spec.id):
             return self._lookup.answer(spec.id, await self._lookup.find(spec.id))
-        if not self._cache.types:
-            return RetryLater("the machine types are not known yet")
-        checked = await self._check(submission)
+        checked = await self._admission.check(submission)
         if isinstance(checked, NeverRunnable):
             return await self._unless_accepted(spec.id, checked)
         if isinstance(checked, RetryLater):
@@ -105,40 +94,6 @@
         found = await self._lookup.find(job_id)
         return refusal if found is None else self._lookup.answer(job_id, found)
 
-    async def _check(
-        self, submission: Submission
-    ) -> SubmittedDependencies | NeverRunnable | RetryLater:
-        """What the named jobs mean for the new one, or why it cannot be accepted."""
-        spec, names = submission
-        reason = rejection(spec, self._cache.types, self._team_limits)
-        if reason is not None:
-            return NeverRunnable(reason)
-        dependencies = SubmittedDependencies()
-        if names:
-            if self._cache.schema_version == SCHEMA_V1 and await self._lookup.find(spec.id) is None:
-                # A controller of the version before would start it at once.
-                return RetryLater("not all controllers know of jobs that wait for others yet")
-            checked = await self._dependency_check.check(spec.id, names)
-            if isinstance(checked, NeverRunnable):
-                return checked
-            dependencies = checked
-        reason = self._too_large(spec, dependencies)
-        return dependencies if reason is None else NeverRunnable(reason)
-
-    def _too_large(self, spec: JobSpec, dependencies: SubmittedDependencies) -> str | None:
-        """Why the store could not keep this job, or None."""
-        record = job_value(Job(spec, self._wall(), dependencies.live))
-        if self._cache.schema_version == SCHEMA_V1:
-            size = len(msgspec.json.encode(record))
-        else:
-            parts = split_value(record, self._limits.value_bytes)
-            size = sum(len(msgspec.json.encode(part)) for part in parts)
-            if spec.kind == GANG and spec.tasks > self._limits.most_live(size):
-                return "so many tasks at a time are more than can be kept"
-        if size > self._limits.spec_room():
-            return "its description is too large to be kept"
-        return None
-
     async def _commit(self, spec: JobSpec, dependencies: SubmittedDependencies) -> Answer:
         """Commit a job that may be accepted, and answer with its state."""
         if self._committer.full or not self._store_reachable():
--- a/src/sandladder/controller/controller.py
+++ b/src/sandladder/controller/controller.py
@@ -11,6 +11,7 @@
 from sandladder import clock
 from sandladder.agents import AgentService, LeaseExpiryProof, LeaseRenewalGuard, Reconciler
 from sandladder.api import (
+    AdmissionCheck,
     CancellationService,
     DependencyCheck,
     HealthCheck,
@@ -164,15 +165,19 @@
         """The job API with the services behind it."""
         read_timeout_s, commit_timeout_s = self.report_s / 2, self.report_s
         lookup = JobLookup(self.cache, self.watch, self.dependency_resolver, read_timeout_s)
+        admission = AdmissionCheck(
+            lookup,
+            DependencyCheck(lookup, self.watch, self.dependency_resolver, read_timeout_s),
+            self.cache,
+            self.limits,
+            self.cluster_view.limits,
+            self.wall,
+        )
         submissions = SubmissionService(
             lookup=lookup,
-            dependency_check=DependencyCheck(
-                lookup, self.watch, self.dependency_resolver, read_timeout_s
-            ),
+            admission=admission,
             cache=self.cache,
             committer=self.committer,
-            limits=self.limits,
-            team_limits=self.cluster_view.limits,
             peers=self.peers,
             store_reachable=self.store_reachable,
             wall=self.wall,
--- a/src/sandladder/protocol/job_messages.py
+++ b/src/sandladder/protocol/job_messages.py
@@ -21,7 +21,7 @@
 CANCEL_ACTION = "cancel"
 
 TASK_LIMIT = 100_000
-# Jobs that one submission may name; a record must hold them.
+# Jobs that one submission may name; a record must have space for them.
 DEPENDENCY_LIMIT = 128
 DEPENDENCIES_FIELD = "awaits"
 
--- a/src/sandladder/transport/http_server.py
+++ b/src/sandladder/transport/http_server.py
@@ -59,7 +59,7 @@
 
     async def _serve_connection(self, stream: SocketStream) -> None:
         # Past our own bound the connection is closed at once, so that the process keeps
-        # sockets for its dealings with the state service and the workers.
+        # sockets for its own connections to the key-value store and to agents.
         if self._open >= self._most:
             await anyio.aclose_forcefully(stream)
             return
--- a/tests/test_job_api.py
+++ b/tests/test_job_api.py
@@ -11,6 +11,7 @@
 from helpers import LIMITS, accept, commit, scene
 from sandladder import clock
 from sandladder.api import (
+    AdmissionCheck,
     CancellationService,
     DependencyCheck,
     HealthCheck,
@@ -330,13 +331,19 @@
         self.reachable = True
         self.barriers = 0
         lookup = JobLookup(self.cache, self, self, REPORT_S)
+        admission = AdmissionCheck(
+            lookup,
+            DependencyCheck(lookup, self, self, REPORT_S),
+            self.cache,
+            StoreLimits(settings(0, 1).platform.deployment.state, self.cache),
+            {"red": LIMITS},
+            lambda: 0.0,
+        )
         self.submissions = SubmissionService(
             lookup=lookup,
-            dependency_check=DependencyCheck(lookup, self, self, REPORT_S),
+            admission=admission,
             cache=self.cache,
             committer=self.committer,
-            limits=StoreLimits(settings(0, 1).platform.deployment.state, self.cache),
-            team_limits={"red": LIMITS},
             peers=self.peers,
             store_reachable=lambda: self.reachable,
             wall=lambda: 0.0,
