--- a/tests/plays.py
+++ b/tests/plays.py
@@ -1,4 +1,4 @@
-"""Seeded plays in the simulated world, by name, for comparing two source trees.
+"""Seeded plays in the simulation, by name, for comparing two source trees.
 
 `tools/same_plays.py` runs each in a process of its own, once for each tree.  What a play does may
 not change from one tree to the other, so an entry is never edited: it is replaced by a new name.
--- a/tests/simulation/store.py
+++ b/tests/simulation/store.py
@@ -1,7 +1,6 @@
 """The simulated state service: a consensus-backed key-value store with leases and a watch."""
 
 import functools
-import itertools
 import json
 from collections import Counter, deque
 from collections.abc import Callable
@@ -16,6 +15,7 @@
 from simulation import rules
 from simulation.deployment import NEXT, WRITE_RPS
 from simulation.event_loop import now
+from simulation.leases import Leases
 from simulation.shared_state import SharedState
 
 # How many changes the watch remembers.
@@ -51,8 +51,7 @@
         # By key: value, revision of its last change, lease.
         self.items: dict[str, tuple[Any, int, int | None]] = {}
         self._log: deque[tuple[int, str, Any]] = deque(maxlen=_LOG_LENGTH)
-        self._leases: dict[int, tuple[float, float]] = {}  # id -> (expiry, ttl)
-        self._lease_ids = itertools.count(1)
+        self._leases = Leases()
         # Limits.
         self.txn_ops, self.value_bytes, self.write_rps = 12, 8 * 1024.0, WRITE_RPS
         self._tokens, self._tokens_at = WRITE_RPS, 0.0
@@ -73,7 +72,7 @@
         """Begin or end an outage; after it all leases have their full time again."""
         self.down = down
         if not down:
-            self._leases = {i: (now() + ttl, ttl) for i, (_, ttl) in self._leases.items()}
+            self._leases.renew_all()
 
     def apply_next_limits(self) -> None:
         """The limits that the settings announce as `next` begin."""
@@ -146,9 +145,10 @@
         if path == "/follow":
             return self._changes_since(int(query["after"]), query["prefix"])
         if path == "/holds":
-            return self._grant_lease(body["ttl_ms"] / 1000)
+            return 200, {"tenure": self._leases.grant(body["ttl_ms"] / 1000)}
         if path.endswith("/renew"):
-            return self._renew_lease(int(path.split("/")[2]))
+            lease = int(path.split("/")[2])
+            return (200, {"tenure": lease}) if self._leases.renew(lease) else (404, {})
         if path == "/store":
             return self._list(query["prefix"], query.get("after", ""), int(query["most"]))
         item = self.items.get(path.removeprefix("/store/"))
@@ -172,30 +172,14 @@
         page = [{"key": k, "v": self.items[k][0], "edition": self.items[k][1]} for k in keys[:most]]
         return 200, {"items": page, "more": len(keys) > most, "ledger": self.revision}
 
-    def _grant_lease(self, ttl_s: float) -> Answer:
-        lease = next(self._lease_ids)
-        self._leases[lease] = now() + ttl_s, ttl_s
-        return 200, {"tenure": lease}
-
-    def _renew_lease(self, lease: int) -> Answer:
-        if lease not in self._leases:
-            return 404, {}
-        ttl_s = self._leases[lease][1]
-        self._leases[lease] = now() + ttl_s, ttl_s
-        return 200, {"tenure": lease}
-
     def _expire_leases(self) -> None:
-        for lease in [i for i, (expiry, _) in self._leases.items() if expiry < now()]:
-            self._end_lease(lease)
-
-    def _end_lease(self, lease: int) -> None:
-        """End a lease and remove the keys attached to it."""
-        self._leases.pop(lease, None)
-        keys = [k for k, item in self.items.items() if item[2] == lease]
-        if keys:
-            self.revision += 1
-            for key in keys:
-                self._change(key, None, None)
+        """End the leases that are due, and remove the keys attached to them."""
+        for lease in self._leases.expire():
+            keys = [key for key, item in self.items.items() if item[2] == lease]
+            if keys:
+                self.revision += 1
+                for key in keys:
+                    self._change(key, None, None)
 
     def _commit(self, body: Any) -> Answer:
         """Apply a transaction if all its conditions hold and no limit is in the way."""
--- a/tools/capacity/bench_reports.py
+++ b/tools/capacity/bench_reports.py
@@ -1,4 +1,4 @@
-"""Rows from days that the users' bench played on copies of a site at several sizes."""
+"""Rows from days that the users' bench ran on copies of a site at several sizes."""
 
 import json
 from collections.abc import Iterator
@@ -7,8 +7,11 @@
 from capacity.rows import Row
 
 
-def rows(run: str, reports: dict[float, Path], played_s: float) -> Iterator[Row]:
-    """What was counted in so many seconds on each copy, by how many times the site's size it is."""
+def rows(run: str, reports: dict[float, Path], duration_s: float) -> Iterator[Row]:
+    """What was counted on each copy, by how many times the site's size it is.
+
+    Each ran for `duration_s` seconds.
+    """
     for times, path in sorted(reports.items()):
         report = json.loads(path.read_text())
         started = report["fleet"]["tasks_started"]
@@ -16,12 +19,12 @@
         seconds = sum(report["spent"]["processes"])
         state = report["state"]
         found = {
-            ("tasks started a second", "tasks/s"): started / played_s,
+            ("tasks started a second", "tasks/s"): started / duration_s,
             ("processor time by started task", "ms"): 1000 * seconds / max(1, started),
             ("changes by started task", "changes"): state["writes"] / max(1, started),
-            ("changes of the state service", "changes/s"): state["writes"] / played_s,
-            ("requests to the state service", "requests/s"): state["requests"] / played_s,
-            ("bytes written to the state service", "bytes/s"): state["bytes_written"] / played_s,
+            ("changes of the state service", "changes/s"): state["writes"] / duration_s,
+            ("requests to the state service", "requests/s"): state["requests"] / duration_s,
+            ("bytes written to the state service", "bytes/s"): state["bytes_written"] / duration_s,
             ("processor of the busiest controller", "core"): max(n["cpu_mean"] for n in nodes),
             ("memory of the largest controller", "MB"): max(n["memory_peak_mb"] for n in nodes),
             ("sent between controllers", "MB"): sum(n["peer_mb"] for n in nodes),
--- a/tools/capacity/controller_state.py
+++ b/tools/capacity/controller_state.py
@@ -39,15 +39,15 @@
     schema_version_value,
 )
 
-NODE, TERM = "node-0", 1
+NODE, FENCING_TOKEN = "node-0", 1
 ZONES = ("a1", "a2", "b1", "b2")
 TYPE = MachineType("worker", 32.0, 0.0, 128.0, 80.0, 1.0, 1.0, 0.3, 30.0, ZONES)
-PLACER = TeamAssignment(NODE, TERM)
+ASSIGNMENT = TeamAssignment(NODE, FENCING_TOKEN)
 TASK_CPUS = 1.0
 
 
-class Scene(NamedTuple):
-    """One controller's copy of the records and what it decides on."""
+class ControllerState(NamedTuple):
+    """One controller's cache of the records, and what it plans from."""
 
     cache: StateCache
     cluster_view: ClusterView
@@ -75,6 +75,7 @@
 
 
 def team_name(number: int) -> str:
+    """The name of a team."""
     return f"team-{number:03d}"
 
 
@@ -87,70 +88,78 @@
 
 
 def machine_name(number: int) -> str:
+    """The name of a machine."""
     return f"vm-{number:06d}"
 
 
-def report(number: int, entries: list[ReportedTask], seq: int = 1) -> AgentHeartbeat:
-    """What a machine reports."""
+def heartbeat(number: int, entries: list[ReportedTask], seq: int = 1) -> AgentHeartbeat:
+    """A heartbeat with the status of a machine's tasks."""
     name, zone = machine_name(number), ZONES[number % len(ZONES)]
     return AgentHeartbeat(
-        name, f"{name}:9000", TYPE.name, zone, True, 1, seq, TERM, None, tuple(entries)
+        name, f"{name}:9000", TYPE.name, zone, True, 1, seq, FENCING_TOKEN, None, tuple(entries)
     )
 
 
-def build(machines: int, teams: int = 1, controllers: int = 9, value_kb: float = 8.0) -> Scene:
-    """A scene with so many machines that report to this controller, and no jobs."""
+def build(
+    machines: int, teams: int = 1, controllers: int = 9, value_kb: float = 8.0
+) -> ControllerState:
+    """The state with so many machines that report to this controller, and no jobs."""
     cache, reconciler, gate = StateCache(), Reconciler(), Gate()
     cache.types[TYPE.name] = TYPE
     settings = Settings(platform(teams, controllers, value_kb))
     names = [f"node-{n}" for n in range(controllers)]
-    loss = LeaseExpiryProof(NODE, names, 16.0, 0.0)
-    cluster_view = ClusterView(settings, cache, reconciler, loss, gate)
-    reconciler.new_term(TERM)
+    lease_expiry = LeaseExpiryProof(NODE, names, 16.0, 0.0)
+    cluster_view = ClusterView(settings, cache, reconciler, lease_expiry, gate)
+    reconciler.new_term(FENCING_TOKEN)
     for number in range(machines):
-        heard = reconciler.heard(report(number, []), 0.0, direct=False)
+        heard = reconciler.heard(heartbeat(number, []), 0.0, direct=False)
         cluster_view.heard(heard.agent)
     limits = StoreLimits(settings.platform.deployment.state, cache)
     records = [(SCHEMA_VERSION_KEY, schema_version_value(SCHEMA_V2))]
-    records += [(TEAM + team_name(n), assignment_value(PLACER)) for n in range(teams)]
+    records += [(TEAM + team_name(n), assignment_value(ASSIGNMENT)) for n in range(teams)]
     apply(cache, records)
-    return Scene(cache, cluster_view, Planner(cluster_view, limits, Random(1)), limits, reconciler)
+    return ControllerState(
+        cache, cluster_view, Planner(cluster_view, limits, Random(1)), limits, reconciler
+    )
 
 
 def apply(cache: StateCache, changes: list[tuple[str, object]]) -> None:
-    """Take in changes as if the state service had just carried them out."""
+    """Apply changes as if the store had just committed them."""
     revision = cache.revision + 1
     cache.wrote(revision, changes)
     cache.apply(revision, [])
 
 
-def add_jobs(scene: Scene, jobs: int, tasks: int, first: int = 0, teams: int = 1) -> list[str]:
+def add_jobs(
+    state: ControllerState, jobs: int, tasks: int, first: int = 0, teams: int = 1
+) -> list[str]:
     """Accept so many jobs of so many tasks."""
     ids = []
     for number in range(first, first + jobs):
-        transaction = Transaction(scene.cache)
+        transaction = Transaction(state.cache)
         spec = job_spec(number, tasks, number % teams)
         submit(transaction, spec, 0.0)
-        apply(scene.cache, [(key, value) for key, value, _ in transaction.changes()])
+        apply(state.cache, [(key, value) for key, value, _ in transaction.changes()])
         ids.append(spec.id)
     return ids
 
 
-def start_all(scene: Scene, job_ids: list[str], machines: int) -> None:
+def start_all(state: ControllerState, job_ids: list[str], machines: int) -> None:
     """Commit a start for each waiting task, spread over the machines in turn."""
     number = 0
     for job_id in job_ids:
-        places = []
-        for task in scene.cache.jobs[job_id].pending():
-            where = number % machines
-            places.append(Placement(task, machine_name(where), ZONES[where % len(ZONES)], 1))
+        placements = []
+        for task in state.cache.jobs[job_id].pending():
+            machine = number % machines
+            zone = ZONES[machine % len(ZONES)]
+            placements.append(Placement(task, machine_name(machine), zone, 1))
             number += 1
-        transaction = Transaction(scene.cache)
-        team = scene.cache.jobs[job_id].spec.team
-        start(transaction, job_id, places, TeamLimits(team), PLACER)
-        apply(scene.cache, [(key, value) for key, value, _ in transaction.changes()])
+        transaction = Transaction(state.cache)
+        team = state.cache.jobs[job_id].spec.team
+        start(transaction, job_id, placements, TeamLimits(team), ASSIGNMENT)
+        apply(state.cache, [(key, value) for key, value, _ in transaction.changes()])
 
 
 def encoded(value: object) -> bytes:
-    """A record as the state service stores it."""
+    """A record as the store keeps it."""
     return msgspec.json.encode(value)
--- a/tools/capacity/roles.py
+++ b/tools/capacity/roles.py
@@ -1,4 +1,7 @@
-"""What each role takes at the size of `capacity.size`, worked out from fitted slopes."""
+"""What each role takes at the size of `capacity.size`, worked out from fitted slopes.
+
+Slopes have the names of the recorded quantities (docs/capacity/).
+"""
 
 from collections.abc import Iterator, Mapping
 from typing import NamedTuple
@@ -25,10 +28,10 @@
     mechanism: str
 
 
-def reports_per_s() -> float:
-    """Reports of one worker each second at the peak: by the clock, and for changes of its tasks.
+def heartbeats_per_s() -> float:
+    """Heartbeats of one worker each second at the peak: by the clock, and for changes of its tasks.
 
-    A change is reported at once, but not within `CHANGE_S` of the report before.
+    A change is sent at once, but not within `CHANGE_S` of the heartbeat before.
     """
     changes = 2 * SIZE.starts_per_s / SIZE.workers
     return 1 / REPORT_S + changes / (1 + changes * CHANGE_S)
@@ -37,10 +40,10 @@
 def role_lines(slopes: Mapping[str, Slope]) -> Iterator[Line]:
     """The lines of the table, role by role."""
     yield from _worker(slopes)
-    yield from _receiver(slopes)
-    yield from _placer(slopes)
+    yield from _agent_service(slopes)
+    yield from _scheduler(slopes)
     yield from _member(slopes)
-    yield from _state_service(slopes)
+    yield from _store(slopes)
     yield from _start(slopes)
 
 
@@ -48,64 +51,69 @@
     tasks = SIZE.tasks_per_worker
     starts = SIZE.starts_per_s / SIZE.workers
     around = slopes["HTTP around a report and its answer"].base
-    report = slopes["report"].at(tasks) + around
+    heartbeat = slopes["report"].at(tasks) + around
     command = slopes["commands"].at(1) + slopes["report"].at(tasks) + around
-    each_s = reports_per_s() * report + starts * command
+    each_s = heartbeats_per_s() * heartbeat + starts * command
     limit = f"{SIZE.worker_bytes_per_s:,.0f}"
-    mechanism = "reports on change at most every half second; commands pushed"
+    mechanism = "heartbeats on change at most every half second; commands sent directly"
     yield Line("worker, control part", "bytes a second", each_s, "bytes/s", limit, mechanism)
     yield Line(
-        "worker, control part", "messages a second", reports_per_s() + starts, "1/s", "", mechanism
+        "worker, control part",
+        "messages a second",
+        heartbeats_per_s() + starts,
+        "1/s",
+        "",
+        mechanism,
     )
 
 
-def _receiver(slopes: Mapping[str, Slope]) -> Iterator[Line]:
+def _agent_service(slopes: Mapping[str, Slope]) -> Iterator[Line]:
     workers, tasks = SIZE.workers_per_controller, SIZE.tasks_per_worker
-    reports = workers * reports_per_s()
+    heartbeats = workers * heartbeats_per_s()
     commands = SIZE.starts_per_s / SIZE.controllers
     exchange = slopes["request read and answered"].at(slopes["report"].at(tasks))
     read = slopes["report parsed"].at(tasks) + slopes["report answered"].at(tasks)
-    steps = reports * (exchange + read) + commands * (exchange + read)
-    spread = "workers dealt out by bounded loads (membership)"
-    yield Line("receiver of reports", "reports", reports, "1/s each", "", spread)
-    yield Line(
-        "receiver of reports", "commands pushed", commands, "1/s each", "", "one for each start"
-    )
-    yield _processor("receiver of reports", "without sockets and event loop", steps, slopes, spread)
+    steps = heartbeats * (exchange + read) + commands * (exchange + read)
+    assignment = "workers assigned with bounded loads (membership)"
+    yield Line("agent service", "heartbeats", heartbeats, "1/s each", "", assignment)
+    yield Line("agent service", "commands sent", commands, "1/s each", "", "one for each start")
+    yield _processor("agent service", "without sockets and event loop", steps, slopes, assignment)
 
 
-def _placer(slopes: Mapping[str, Slope]) -> Iterator[Line]:
+def _scheduler(slopes: Mapping[str, Slope]) -> Iterator[Line]:
     rounds = 8.0  # a round each eighth of a second where urgent work waits
     planned = slopes["round of planning that starts 24 tasks"].at(SIZE.workers)
     yield _processor(
-        "placer of teams", "eight rounds of planning a second", rounds * planned, slopes,
+        "scheduler of teams", "eight rounds of planning a second", rounds * planned, slopes,
         "machines by likeness, bounded samples",
     )  # fmt: skip
     changes = _changes_per_s()
     own = changes / SIZE.controllers
     evaluated = slopes["change evaluated and written"].at(TASKS_A_JOB)
     yield _processor(
-        "placer of teams", "own changes evaluated", own * evaluated, slopes, "one change a job"
+        "scheduler of teams", "own changes evaluated", own * evaluated, slopes, "one change a job"
     )
     read = slopes["change read by another"].at(TASKS_A_JOB)
     yield _processor(
-        "placer of teams", "all others' changes read", (changes - own) * read, slopes,
+        "scheduler of teams", "all others' changes read", (changes - own) * read, slopes,
         "every controller reads every record",
     )  # fmt: skip
 
 
 def _member(slopes: Mapping[str, Slope]) -> Iterator[Line]:
-    beats = 6 / REPORT_S * (SIZE.controllers - 1)
+    heartbeats = 6 / REPORT_S * (SIZE.controllers - 1)
     size = slopes["beat"].at(SIZE.controllers)
-    yield Line("member", "bytes of beats sent", beats * size, "bytes/s each", "", "full mesh")
+    yield Line(
+        "member", "bytes of heartbeats sent", heartbeats * size, "bytes/s each", "", "full mesh"
+    )
     jobs = SIZE.running_tasks / TASKS_A_JOB
-    held = jobs * slopes["a job with one live task"].each
-    held += SIZE.running_tasks * slopes["a live task of a job"].each
-    held += SIZE.workers * slopes["a worker"].each
+    kept_bytes = jobs * slopes["a job with one live task"].each
+    kept_bytes += SIZE.running_tasks * slopes["a live task of a job"].each
+    kept_bytes += SIZE.workers * slopes["a worker"].each
     yield Line(
         "member",
         "memory of records and workers",
-        held / 1e6,
+        kept_bytes / 1e6,
         "MB each",
         f"{MEMORY_MB:g}",
         "one copy each",
@@ -120,7 +128,7 @@
     return WRITTEN_PER_TASK * SIZE.starts_per_s / STARTS_A_CHANGE
 
 
-def _state_service(slopes: Mapping[str, Slope]) -> Iterator[Line]:
+def _store(slopes: Mapping[str, Slope]) -> Iterator[Line]:
     for limits in STATE:
         yield Line(
             "state service", f"changes for starts and ends ({limits.name})", _changes_per_s(),
@@ -131,8 +139,8 @@
         "state service", "bytes written for that", _changes_per_s() * value, "bytes/s", "", MISSING
     )
     yield Line(
-        "state service", "placers of teams read and moved at a hand-over",
-        SIZE.teams / SIZE.controllers, "records", "12 or 32 a transaction", "hand-over in pieces",
+        "state service", "team assignments read and written at a failover",
+        SIZE.teams / SIZE.controllers, "records", "12 or 32 a transaction", "failover in pieces",
     )  # fmt: skip
 
 
--- a/tools/first_difference.py
+++ b/tools/first_difference.py
@@ -4,8 +4,8 @@
     python tools/first_difference.py CODE [--hash-seeds 0 4] [--context 3]
 
 CODE is Python that plays the day, with the tests' folders on its path, for example
-'from test_world import *; play_day(106, everything)'.  An event is a request, a frame between
-controllers or a routine's outcome, as `tests/world.py` traces it.  Exit status 1 if any differs.
+'from test_random_faults import *; play_day(106, all_faults)'.  An event is a request, a response or
+a message between controllers, as `simulation.tracing` records it.  Exit status 1 if any differs.
 """
 
 import argparse
@@ -13,21 +13,19 @@
 import os
 import subprocess
 import sys
-from pathlib import Path
 
-ROOT = Path(__file__).resolve().parent.parent
-PARTS = ("src", "tests", "tests/membership")
-LISTEN = "import world; world.TRACE.listener = print\n"
+from same_plays import ROOT, import_path
+
+LISTEN = "import simulation; simulation.TRACE.listener = print\n"
 # How much of an event is shown: a request's body may take kilobytes.
 SHOWN_CHARACTERS = 400
 
 
 def play(code: str, hash_seed: str) -> list[str]:
-    """The events of a day; its last words on standard error are the last of them."""
-    path = os.pathsep.join(str(ROOT / part) for part in PARTS)
+    """The events of a day; the last line of its standard error is the last of them."""
     done = subprocess.run(
         [sys.executable, "-c", LISTEN + code],
-        env=os.environ | {"PYTHONHASHSEED": hash_seed, "PYTHONPATH": path},
+        env=os.environ | {"PYTHONHASHSEED": hash_seed, "PYTHONPATH": import_path(ROOT)},
         capture_output=True,
         text=True,
     )
@@ -41,9 +39,12 @@
 
 
 def main() -> int:
+    """Compare the two plays that the command line asks for; the exit status."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("code", help="Python that plays the day")
-    parser.add_argument("--hash-seeds", nargs=2, default=["0", "4"], metavar="SEED")
+    parser.add_argument(
+        "--hash-seeds", nargs=2, default=["0", "4"], metavar="SEED", help="of the two processes"
+    )
     parser.add_argument("--context", type=int, default=3, help="events shown before it")
     options = parser.parse_args()
     one, other = (play(options.code, seed) for seed in options.hash_seeds)
--- a/tools/same_plays.py
+++ b/tools/same_plays.py
@@ -4,7 +4,7 @@
     python tools/same_plays.py BASE [--jobs 10] [--only TEXT] [--context 3]
 
 An event is a request or its answer, with status and body, or a frame between controllers, in
-virtual time, as the simulated world traces it.  A change of names and shape must leave each of
+virtual time, as the simulation traces it.  A change of names and shape must leave each of
 them, byte for byte.  BASE's tree is taken from the history; its own tests play it.  Each play is
 printed with its count of events and the processor time of both sides in seconds, and where they
 differ with the first difference.  A play whose checks fail on both sides alike is compared all the
