--- a/tests/plays.py
+++ b/tests/plays.py
@@ -169,21 +169,23 @@
 
 
 def _largest_jobs() -> None:
-    import test_room
+    import test_large_and_small_jobs
 
-    test_room.test_the_largest_jobs_begin_though_there_is_more_work_than_room("group", 1200)
+    test_large_and_small_jobs.test_the_largest_jobs_start_under_more_work_than_capacity(
+        "group", 1200
+    )
 
 
 def _bound_to_a_zone() -> None:
-    import test_room
+    import test_large_and_small_jobs
 
-    test_room.test_jobs_bound_to_a_zone_lose_machines("service")
+    test_large_and_small_jobs.test_jobs_bound_to_a_zone_finish_though_machines_are_lost("service")
 
 
 def _odd_requests() -> None:
-    import test_told
+    import test_read_consistency
 
-    test_told.test_odd_requests_get_what_the_page_says_at_every_node()
+    test_read_consistency.test_odd_requests_get_what_the_page_says_at_every_node()
 
 
 def _old_reports_at_seven() -> None:
@@ -201,9 +203,9 @@
 
 
 def _close_look() -> None:
-    import test_told
+    import test_read_consistency
 
-    test_told.test_a_close_look_at_all_nodes_finds_nothing_older(test_told.leaders_end, 7)
+    test_read_consistency.test_a_close_look_at_all_nodes_finds_nothing_older(test_read_consistency.leaders_end, 7)
 
 
 def _nine_controllers() -> None:
--- a/tests/simulation/deployment.py
+++ b/tests/simulation/deployment.py
@@ -8,7 +8,7 @@
 from sandladder.config import Settings
 from sandladder.config import settings as settings_module
 from sandladder.controller import controller as controller_module
-from sandladder.transport import http, peer_transport
+from sandladder.transport import http, peer_messages
 
 ZONES = ["north", "south"]
 MACHINE_TYPES = {
@@ -35,7 +35,7 @@
 
 # The version in the working tree, beside `production.load()`.
 TODAY = production.Version(
-    control=controller_module, http=http, mesh=peer_transport, settings=settings_module
+    control=controller_module, http=http, mesh=peer_messages, settings=settings_module
 )
 
 
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -107,7 +107,7 @@
     assert gate.changed([("job", "job-000001")], cluster_view)[0].outcome is Outcome.KEEP
     cache.dependency_index._finished.clear()
     verdict = gate.changed([("job", "job-000001")], cluster_view)[0]
-    assert verdict.outcome is Outcome.BLOCK and verdict.reason == "after"
+    assert verdict.outcome is Outcome.BLOCK and verdict.reason is PremiseKind.DEPENDENCY_DONE
     assert pending_start.key not in gate.pending
 
 
--- a/tools/capacity/message_sizes.py
+++ b/tools/capacity/message_sizes.py
@@ -20,8 +20,8 @@
 )
 from sandladder.protocol import wire
 from sandladder.state import Transaction, fold_inventory, instances_value
-from sandladder.transport import Response, peer_transport
-from sandladder.transport.http import _encode_answer
+from sandladder.transport import Response, peer_messages
+from sandladder.transport.http_server import encode_response
 
 
 def reported_tasks(tasks: int) -> list[ReportedTask]:
@@ -55,10 +55,10 @@
     peers = [f"node-{n}" for n in range(controllers - 1)]
     heard = dict.fromkeys(peers, (0.123, False))
     echoes = {name: ClockReading(1 << 39, 12345.678) for name in peers}
-    found = peer_transport.PeerHeartbeat(
+    found = peer_messages.PeerHeartbeat(
         "node-8", True, 10, 2, 9, 9, 0.01, 144, False, heard, 1 << 39, 12345.678, echoes, [], True
     )
-    return peer_transport._frame(found)
+    return peer_messages.encode_frame(found)
 
 
 def inventory(machines: int) -> MachineInventory:
@@ -83,13 +83,13 @@
         yield row("report", "tasks on the worker", tasks, len(heartbeat_body(tasks)))
         yield row("commands", "starts", tasks, len(command_body(tasks)))
         ends = [
-            peer_transport.EndedTask(
+            peer_messages.EndedTask(
                 f"job-{n:06d}", n, controller_state.machine_name(n), "a1", 1, 1, "done"
             )
             for n in range(tasks)
         ]
         yield row(
-            "ends told", "ends", tasks, len(peer_transport._frame(peer_transport.EndedTasks(ends)))
+            "ends told", "ends", tasks, len(peer_messages.encode_frame(peer_messages.EndedTasks(ends)))
         )
     for size in (0, 400, 800, 1600, 3200):
         around = len(request_bytes(bytes(size))) - size
@@ -144,7 +144,7 @@
         server.receive_data(raw)
         while type(server.next_event()) is not h11.EndOfMessage:
             pass
-        written = _encode_answer(server, answer)
+        written = encode_response(server, answer)
         server.start_next_cycle()
         return written
 
