--- a/src/sandladder/model/__init__.py
+++ b/src/sandladder/model/__init__.py
@@ -1,6 +1,15 @@
-"""Jobs, attempts, machines, agents and members as the service decides on them; no I/O, no clock."""
+"""What the cluster's state consists of: jobs, attempts, machines, agents, members, quotas.
+
+Plain values and the rules that follow from them alone.  The package owns no state of its own but
+`DependencyIndex`, which an owner of jobs keeps up.  Nothing here does I/O, reads a clock or draws
+random numbers, and nothing says how a value is spelled on the wire or in the store: that is
+`sandladder.protocol` and `sandladder.state.codecs`.
+
+Times of day are seconds since the epoch; durations are in seconds; sizes in gigabytes.
+"""
 
 from sandladder.model.agents import AgentHeartbeat, ClockReading, Command, ReportedTask
+from sandladder.model.attempts import Attempt, EndedAttempt, Placement
 from sandladder.model.dependencies import DependencyIndex, DependencyOutcome, SchedulingPriority
 from sandladder.model.jobs import (
     ARRAY,
@@ -14,16 +23,15 @@
     PRODUCTION,
     RUNNING,
     SERVICE,
-    Attempt,
-    EndedAttempt,
     FinishedJob,
     Job,
     JobSpec,
-    Placement,
-    Ranges,
     zones_allowed,
 )
 from sandladder.model.machines import (
+    DRAINING,
+    GONE,
+    RENTED,
     ListedMachine,
     Machine,
     MachineInventory,
@@ -40,6 +48,7 @@
     nearly_used_up,
     within_guarantee,
 )
+from sandladder.model.ranges import Ranges
 from sandladder.model.schema import SCHEMA_V1, SCHEMA_V2
 
 __all__ = [
@@ -50,12 +59,14 @@
     "ClockReading",
     "Command",
     "DONE",
+    "DRAINING",
     "DependencyIndex",
     "DependencyOutcome",
     "EPSILON",
     "EndedAttempt",
     "FinishedJob",
     "GANG",
+    "GONE",
     "HIGH",
     "Headroom",
     "IN",
@@ -74,6 +85,7 @@
     "PENDING",
     "PRODUCTION",
     "Placement",
+    "RENTED",
     "RUNNING",
     "Ranges",
     "ReportedTask",
--- a/src/sandladder/model/jobs.py
+++ b/src/sandladder/model/jobs.py
@@ -1,21 +1,48 @@
-"""The state that the service decides on: jobs, attempts, teams, machines and what is said of them.
+"""Jobs: what a user asked for, the live job, and what is kept of a finished one.
 
-Nothing here does I/O or reads a clock; `records` says how it is written down.
+Pure: no I/O, no clock; `sandladder.state.codecs` says how they are stored.
 """
 
-import bisect
 from collections.abc import Iterator
 from typing import NamedTuple
 
 import msgspec
 
+from sandladder.model.attempts import Attempt
+from sandladder.model.ranges import Ranges
+
+# Kinds of jobs: independent tasks; tasks that run all together or not at all; replicas that run
+# until the job is cancelled.
 ARRAY, GANG, SERVICE = "array", "group", "service"
+# States of a job.
 PENDING, RUNNING, DONE, CANCELLED = "pending", "running", "done", "cancelled"
+# Priorities: more urgent is larger.
 PRODUCTION, HIGH, NORMAL, LOW = 3, 2, 1, 0
 
 
 class JobSpec(msgspec.Struct, frozen=True, array_like=True):
-    """What a user asked for."""
+    """What a user asked for.
+
+    Attributes:
+        id: the job's id.
+        cls: the class of jobs that it belongs to, by which the settings state objectives.
+        team: whose quota applies.
+        kind: ARRAY, GANG or SERVICE.
+        priority: PRODUCTION, HIGH, NORMAL or LOW.
+        tasks: the number of tasks.
+        cpus: what each task takes of its machine; `gpus` and `memory_gb` likewise.
+        image: the image that a machine must have before a task can start.
+        image_gb: the size of the image.
+        types: the allowed machine types; None: any.
+        zone: the only allowed zone; None: any.
+        one_zone: whether all tasks must be in the same zone.
+        spread: whether at most half of the tasks, rounded up, may be in one zone.
+        spot: whether the tasks may run on spot instances.
+        estimate_s: the owner's estimate of a task's run time in seconds, without the image fetch.
+        checkpoint_s: after how many seconds of progress a task saves a checkpoint; 0: never.
+        save_s: how many seconds a task needs to save when it is stopped.
+        deadline_s: within how many seconds of its submission it should be done; None: no deadline.
+    """
 
     id: str
     cls: str
@@ -39,64 +66,21 @@
     deadline_s: float | None
 
 
-class Attempt(NamedTuple):
-    """A committed start: it holds its task, place and quota until its end is proved.
-
-    `stop` is None, or the grace in seconds with which it is to be stopped.
-    """
-
-    machine: str
-    zone: str
-    session: int
-    attempt: int
-    stop: float | None = None
-
-
-class Ranges:
-    """A set of small integers kept as sorted half-open ranges."""
-
-    __slots__ = ("_flat", "count")
-
-    def __init__(self, flat: list[int] | None = None) -> None:
-        self._flat = list(flat or [])
-        self.count = sum(self._flat[1::2]) - sum(self._flat[::2])
-
-    def __contains__(self, value: int) -> bool:
-        return bisect.bisect_right(self._flat, value) % 2 == 1
-
-    def add(self, value: int) -> bool:
-        """Add one value; False if it was there."""
-        flat = self._flat
-        at = bisect.bisect_right(flat, value)
-        if at % 2:
-            return False
-        joins_left = at > 0 and flat[at - 1] == value
-        joins_right = at < len(flat) and flat[at] == value + 1
-        if joins_left and joins_right:
-            del flat[at - 1 : at + 1]
-        elif joins_left:
-            flat[at - 1] = value + 1
-        elif joins_right:
-            flat[at] = value
-        else:
-            flat[at:at] = [value, value + 1]
-        self.count += 1
-        return True
-
-    def flat(self) -> list[int]:
-        return list(self._flat)
-
-    def gaps(self, end: int) -> Iterator[int]:
-        """The values below `end` that are not in the set, lowest first."""
-        at = 0
-        for lo, hi in zip(self._flat[::2], self._flat[1::2], strict=True):
-            yield from range(at, min(lo, end))
-            at = hi
-        yield from range(at, end)
-
-
 class Job:
-    """A live job: its spec, which tasks are done, and its committed starts."""
+    """A live job: its spec, which tasks are done, and its committed starts.
+
+    Attributes:
+        spec: what the user asked for.
+        submitted: the time of day of its submission, in seconds.
+        dependencies: the jobs that must be done before any task starts, as far as that is not
+            recorded here yet.
+        ready: the time of day at which the last of the recorded ones was done; None: none is.
+        next_attempt: the number of the next attempt of any task.
+        done: the tasks that are done.
+        live: by task, the attempt whose end is not proved.
+        cancelled: whether its user has cancelled it.
+        errors: how many attempts failed since a task was last done.
+    """
 
     __slots__ = (
         "spec",
@@ -118,23 +102,23 @@
         ready: float | None = None,
     ) -> None:
         self.spec = spec
-        self.submitted = submitted  # time of day
-        # Jobs that must be done before any task starts, as far as that is not recorded here
-        # yet; and the time of day at which the last of those recorded was done.
+        self.submitted = submitted
         self.dependencies = dependencies
         self.ready = ready
         self.next_attempt = 1
         self.done = Ranges()
         self.live: dict[int, Attempt] = {}
         self.cancelled = False
-        self.errors = 0  # failures since a task last completed
+        self.errors = 0
 
     @property
     def id(self) -> str:
+        """The job's id."""
         return self.spec.id
 
     @property
     def complete(self) -> bool:
+        """Whether all its tasks are done; a service never is."""
         return self.spec.kind != SERVICE and self.done.count >= self.spec.tasks
 
     @property
@@ -145,7 +129,7 @@
         return self.spec.tasks - self.done.count - len(self.live)
 
     def pending(self) -> Iterator[int]:
-        """Tasks neither started nor done, lowest first."""
+        """The tasks that are neither started nor done, lowest first."""
         if self.cancelled:
             return
         for task in self.done.gaps(self.spec.tasks):
@@ -154,6 +138,7 @@
 
     @property
     def state(self) -> str:
+        """PENDING, RUNNING, DONE or CANCELLED."""
         if self.cancelled:
             return CANCELLED
         if self.complete:
@@ -161,6 +146,7 @@
         return RUNNING if self.live else PENDING
 
     def copy(self) -> "Job":
+        """A copy that can be changed without changing this job."""
         twin = Job(self.spec, self.submitted, self.dependencies, self.ready)
         twin.next_attempt = self.next_attempt
         twin.done = Ranges(self.done.flat())
@@ -171,35 +157,25 @@
 
 
 class FinishedJob(NamedTuple):
-    """What is kept of a job that is over."""
+    """What is kept of a finished job.
+
+    Attributes:
+        state: DONE or CANCELLED.
+        done: how many tasks were done.
+        at: the time of day at which it was over, in seconds; None if that was not recorded.
+        version: of its record, where that is known.
+        filed: whether its record is archived, no longer in the live job's place.
+    """
 
     state: str
     done: int
-    at: float | None = None  # time of day at which it was over, where that was recorded
-    version: int = 0  # of the record that says so, where it is known
-    filed: bool = True  # that record is among the finished jobs, not among the live ones still
-
-
-class EndedAttempt(NamedTuple):
-    """An attempt whose end is proved, and how it ended."""
-
-    job: str
-    task: int
-    attempt: Attempt
-    outcome: str
-
-
-class Placement(NamedTuple):
-    """A task that is to start on a machine."""
-
-    task: int
-    machine: str
-    zone: str
-    session: int
+    at: float | None = None
+    version: int = 0
+    filed: bool = True
 
 
 def zones_allowed(spec: JobSpec, zones: list[str]) -> bool:
-    """Whether the tasks of a job may be in these zones together."""
+    """Whether tasks of a job may be in these zones together, one zone for each task."""
     if spec.zone is not None and any(zone != spec.zone for zone in zones):
         return False
     if spec.one_zone and len(set(zones)) > 1:
--- a/src/sandladder/model/machines.py
+++ b/src/sandladder/model/machines.py
@@ -6,9 +6,25 @@
 
 from sandladder.model.jobs import JobSpec
 
+# States of a machine that the autoscaler rented.
+RENTED, DRAINING, GONE = "rented", "draining", "gone"
+
 
 class MachineType(msgspec.Struct, frozen=True):
-    """A kind of machine that the cloud rents."""
+    """A type of machine that the cloud offers.
+
+    Attributes:
+        name: its name.
+        cpus: the CPUs of a machine.
+        gpus: its GPUs.
+        memory_gb: its memory.
+        cache_gb: how much its image cache holds.
+        fetch_gb_per_s: how fast it fetches images.
+        price: what a machine on demand costs per unit of time.
+        spot_price: what a spot instance costs.
+        boot_s: how long a machine takes to come up, in seconds.
+        zones: where it is offered.
+    """
 
     name: str
     cpus: float
@@ -33,7 +49,17 @@
 
 
 class ListedMachine(NamedTuple):
-    """A machine in the cloud's list."""
+    """A machine in the cloud's list of instances.
+
+    Attributes:
+        id: its name.
+        type: its machine type.
+        zone: its zone.
+        spot: whether it is a spot instance.
+        state: as the cloud names it.
+        age_s: seconds since it was requested, as of the time that the list describes.
+        addr: where its agent takes commands, as host:port.
+    """
 
     id: str
     type: str
@@ -45,34 +71,62 @@
 
 
 class Machine(NamedTuple):
-    """A machine in the fleet record. States: rented, draining, gone."""
+    """A machine in an instance record.
+
+    Attributes:
+        type: its machine type.
+        zone: its zone.
+        spot: whether it is a spot instance.
+        state: RENTED, DRAINING or GONE.
+        since: the time of day at which it came into this state, in seconds.
+    """
 
     type: str
     zone: str
     spot: bool
     state: str
-    since: float  # time of day at which it came into this state
+    since: float
 
 
 class MachineStatus(NamedTuple):
-    """One machine in a controller's room summary."""
+    """One machine in a controller's inventory.
+
+    Attributes:
+        type: its machine type.
+        zone: its zone.
+        spot: whether it is a spot instance.
+        session: the agent's epoch.
+        age_s: seconds since the controller last answered the agent.
+        notice_s: in how many seconds the cloud takes the machine away; None if that is not known.
+        errors: how many different jobs in a row failed there.
+        images: the names of images in its cache, the most recently used last.
+    """
 
     type: str
     zone: str
     spot: bool
     session: int
-    age_s: float  # since the controller last answered it
+    age_s: float
     notice_s: float | None = None
-    errors: int = 0  # different jobs in a row that failed there
-    images: tuple[str, ...] = ()  # the most recent last
+    errors: int = 0
+    images: tuple[str, ...] = ()
 
 
 class MachineInventory(NamedTuple):
-    """A controller's room summary; its keys are attached to the controller's hold."""
+    """What a controller publishes of the machines that report to it; expires with its lease.
+
+    Attributes:
+        term: the controller's fencing token.
+        up_s: for how many seconds it has been running.
+        revision: up to which revision of the store it had read.
+        machines: by name.
+        schema_version: the newest schema version that it supports.
+        process: tells the processes of one controller apart.
+    """
 
     term: int
     up_s: float
-    revision: int  # what its writer had seen of the store
+    revision: int
     machines: dict[str, MachineStatus] = {}
-    schema_version: int = 1  # the newest form of records that its writer understands
-    process: int = 0  # tells the processes of one controller apart
+    schema_version: int = 1
+    process: int = 0
--- a/src/sandladder/model/membership.py
+++ b/src/sandladder/model/membership.py
@@ -4,23 +4,36 @@
 
 
 class TeamAssignment(NamedTuple):
-    """The controller that places a team's jobs, and the term with which its process began."""
+    """The controller that schedules a team's jobs.
+
+    Attributes:
+        node: the controller.
+        term: the incarnation of its process: the fencing token with which that began.
+    """
 
     node: str
     term: int
 
 
-# What the roster says of a controller: it takes part; it is doubted and may refute that; it was
-# given up, and what it placed went to others.
+# States of a member.  Suspected, it may still refute that; out, its teams went to others.
 IN, SUSPECT, OUT = "in", "suspect", "out"
 
 
 class Member(NamedTuple):
-    """One controller in the roster. Its incarnation is (`term`, `refuted`), which only grows."""
+    """One controller in the roster; (`term`, `refuted`) only grows.
+
+    Attributes:
+        term: the incarnation of its process: the fencing token with which that entered.
+        refuted: how often that process refuted a suspicion or came back.
+        state: IN, SUSPECT or OUT.
+        since: the time of day from which it is in, or out, in seconds.
+        flaps: how often in a row it was evicted soon after it had come back.
+        why: the reason for its state, for people.
+    """
 
-    term: int  # with which its process entered
-    refuted: int  # how often that process refuted a suspicion or came back
+    term: int
+    refuted: int
     state: str
-    since: float  # time of day from which it is in, or out
-    flaps: int  # how often in a row it was given up soon after it had come back
-    why: str  # what speaks against it
+    since: float
+    flaps: int
+    why: str
--- a/src/sandladder/model/schema.py
+++ b/src/sandladder/model/schema.py
@@ -1,5 +1,7 @@
-"""Versions of the stored schema."""
+"""Versions of the stored schema.
+
+Records are written as schema version 1, the one of the version before, until all controllers
+support version 2 and the record of the schema version says so (docs/upgrading.md).
+"""
 
-# The form of records that this program writes once all controllers understand it.  Until
-# FORM_KEY says so, everything is written as the version before wrote it.
 SCHEMA_V1, SCHEMA_V2 = 1, 2
--- a/src/sandladder/state/codecs/instances.py
+++ b/src/sandladder/state/codecs/instances.py
@@ -4,11 +4,11 @@
 
 import msgspec
 
-from sandladder.model import Machine, MachineType
+from sandladder.model import DRAINING, GONE, RENTED, Machine, MachineType
 from sandladder.state.codecs.machine_names import long_name, short_name
 
 # By their position in the record.
-_STATES = ("rented", "draining", "gone")
+_STATES = (RENTED, DRAINING, GONE)
 # What a machine takes in an instance record, in bytes: its name, type, state and time of day.
 INSTANCE_RECORD_BYTES = 32
 
