--- a/src/sandladder/model/__init__.py
+++ b/src/sandladder/model/__init__.py
@@ -1,7 +1,16 @@
-"""Jobs, attempts, machines, agents and members as the service decides on them; no I/O, no clock."""
+"""What the cluster's state consists of: jobs, attempts, machines, agents, members, quotas.
+
+Plain values and the rules that follow from them alone.  The package owns no state of its own but
+`DependencyIndex`, which an owner of jobs keeps up.  Nothing here does I/O, reads a clock or draws
+random numbers, and nothing says how a value is spelled on the wire or in the store: that is
+`sandladder.protocol` and `sandladder.state.codecs`.
+
+Times of day are seconds since the epoch; durations are in seconds; sizes in gigabytes.
+"""
 
 from sandladder.model.agents import AgentHeartbeat, ClockReading, Command, ReportedTask
-from sandladder.model.attempts import FAILURES, REFUSALS, AttemptKey, AttemptOutcome
+from sandladder.model.attempt_outcomes import FAILURES, REFUSALS, AttemptKey, AttemptOutcome
+from sandladder.model.attempts import Attempt, EndedAttempt, Placement
 from sandladder.model.dependencies import DependencyIndex, DependencyOutcome
 from sandladder.model.jobs import (
     ARRAY,
@@ -15,16 +24,15 @@
     PRODUCTION,
     RUNNING,
     SERVICE,
-    Attempt,
-    EndedAttempt,
     FinishedJob,
     Job,
     JobSpec,
-    Placement,
-    Ranges,
     zones_allowed,
 )
 from sandladder.model.machines import (
+    DRAINING,
+    GONE,
+    RENTED,
     ListedMachine,
     Machine,
     MachineInventory,
@@ -42,6 +50,7 @@
     nearly_used_up,
     within_guarantee,
 )
+from sandladder.model.ranges import Ranges
 from sandladder.model.scheduling_priority import SchedulingPriority
 from sandladder.model.schema import SCHEMA_V1, SCHEMA_V2
 
@@ -55,6 +64,7 @@
     "ClockReading",
     "Command",
     "DONE",
+    "DRAINING",
     "DependencyIndex",
     "DependencyOutcome",
     "EPSILON",
@@ -62,6 +72,7 @@
     "FAILURES",
     "FinishedJob",
     "GANG",
+    "GONE",
     "HIGH",
     "Headroom",
     "IN",
@@ -82,6 +93,7 @@
     "PRODUCTION",
     "Placement",
     "REFUSALS",
+    "RENTED",
     "RUNNING",
     "Ranges",
     "ReportedTask",
--- a/src/sandladder/model/attempts.py
+++ b/src/sandladder/model/attempts.py
@@ -1,35 +1,53 @@
-"""How an attempt is named, and how it may end."""
+"""Attempts to run a task, from its placement to its proved end."""
 
-import enum
 from typing import NamedTuple
 
 
-class AttemptKey(NamedTuple):
-    """Names one attempt of one task; no two attempts ever share a key."""
+class Placement(NamedTuple):
+    """A task that is to start on a machine.
+
+    Attributes:
+        task: its number within the job.
+        machine: the machine's name.
+        zone: the machine's zone.
+        session: the epoch of the machine's agent.
+    """
 
-    job: str
     task: int
-    attempt: int
+    machine: str
+    zone: str
+    session: int
+
 
+class Attempt(NamedTuple):
+    """A committed start: it occupies its task, place and quota until its end is proved.
 
-class AttemptOutcome(enum.StrEnum):
-    """How an attempt ended.  Controllers send each other the values, so these never change."""
+    Attributes:
+        machine: the machine's name.
+        zone: the machine's zone.
+        session: the epoch of the machine's agent.
+        attempt: its number within the job; all tasks of a gang start with the same one.
+        stop: None, or the grace in seconds with which it is to be stopped.
+    """
+
+    machine: str
+    zone: str
+    session: int
+    attempt: int
+    stop: float | None = None
 
-    DONE = "done"
-    STOPPED = "stopped"  # as commanded
-    SAVED = "saved"  # as commanded, with a checkpoint
-    PEERS_LOST = "peers"  # the other members of its gang went away
-    PEERS_MISSING = "alone"  # the other members of its gang did not come up in time
-    ERROR = "error"
-    UNKNOWN = "unknown"  # the agent cannot say
-    NO_CAPACITY = "no_room"  # the machine refused it: not enough was free
-    BUSY = "busy"  # the machine refused it: what it needs was in use
-    LOST = "lost"  # the machine, or the agent epoch that ran it, is gone
-    NEVER_RAN = "never"  # stopped before the machine had received the start
 
+class EndedAttempt(NamedTuple):
+    """An attempt whose end is proved.
 
-# The task itself failed; on another machine it may not.
-FAILURES = frozenset({AttemptOutcome.ERROR, AttemptOutcome.UNKNOWN})
+    Attributes:
+        job: the job's id.
+        task: its number within the job.
+        attempt: the attempt.
+        outcome: how it ended.
+    """
 
-# The machine did not take the task, which says nothing of the task.
-REFUSALS = frozenset({AttemptOutcome.NO_CAPACITY, AttemptOutcome.BUSY})
+    job: str
+    task: int
+    attempt: Attempt
+    outcome: str
--- a/tests/plays.py
+++ b/tests/plays.py
@@ -205,7 +205,9 @@
 def _close_look() -> None:
     import test_read_consistency
 
-    test_read_consistency.test_a_close_look_at_all_nodes_finds_nothing_older(test_read_consistency.leaders_end, 7)
+    test_read_consistency.test_a_close_look_at_all_nodes_finds_nothing_older(
+        test_read_consistency.leaders_end, 7
+    )
 
 
 def _nine_controllers() -> None:
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -21,7 +21,7 @@
     TeamAssignment,
 )
 from sandladder.protocol import wire
-from sandladder.scheduling import Outcome
+from sandladder.scheduling import Outcome, PremiseKind
 from sandladder.state import PreconditionFailedError, StateCache, Transaction, job_value, load_job
 from world import World, job, now, run
 
--- a/tools/capacity/message_sizes.py
+++ b/tools/capacity/message_sizes.py
@@ -89,7 +89,10 @@
             for n in range(tasks)
         ]
         yield row(
-            "ends told", "ends", tasks, len(peer_messages.encode_frame(peer_messages.EndedTasks(ends)))
+            "ends told",
+            "ends",
+            tasks,
+            len(peer_messages.encode_frame(peer_messages.EndedTasks(ends))),
         )
     for size in (0, 400, 800, 1600, 3200):
         around = len(request_bytes(bytes(size))) - size
