--- a/src/sandladder/model/machines.py
+++ b/src/sandladder/model/machines.py
@@ -6,7 +6,7 @@
 
 from sandladder.model.jobs import JobSpec
 
-# States of a machine that the autoscaler rented.
+# States of an instance in the records.
 RENTED, DRAINING, GONE = "rented", "draining", "gone"
 
 
--- a/src/sandladder/state/cache/instances.py
+++ b/src/sandladder/state/cache/instances.py
@@ -1,4 +1,4 @@
-"""The machines that the autoscaler rented, by the records that hold them."""
+"""The instances that the cloud runs for the cluster, by the records that contain them."""
 
 from typing import Any
 
@@ -7,7 +7,7 @@
 
 
 class Instances:
-    """All rented machines, and which chunk each one's record belongs to."""
+    """All instances, and which names each record contains."""
 
     def __init__(self) -> None:
         self.by_name: dict[str, Machine] = {}
--- a/src/sandladder/state/cache/job_tables.py
+++ b/src/sandladder/state/cache/job_tables.py
@@ -84,9 +84,9 @@
         Returns:
             Those of which this was not known.
         """
-        news = [job_id for job_id in job_ids if not self.cancels(job_id)]
-        self._cancelled_by_peers |= dict.fromkeys(news, now)
-        return news
+        new = [job_id for job_id in job_ids if not self.cancels(job_id)]
+        self._cancelled_by_peers |= dict.fromkeys(new, now)
+        return new
 
     def synced(self, sent: float) -> None:
         """The cache holds everything committed before `sent`, on the steady clock.
--- a/src/sandladder/state/cache/record_tables.py
+++ b/src/sandladder/state/cache/record_tables.py
@@ -46,7 +46,7 @@
         # Their dictionaries are shared, so that reading them costs no call.
         self.nodes = self._inventories.by_node
         self.instances = self._instances.by_name
-        self.chunks = self._instances.chunks
+        self.instance_chunks = self._instances.chunks
         # How each kind of record is read: a single record by its key, others by their prefix.
         self._single_readers: dict[str, Callable[[Any], None]] = {
             SCHEMA_VERSION_KEY: self._read_schema_version,
--- a/src/sandladder/state/cache/state_cache.py
+++ b/src/sandladder/state/cache/state_cache.py
@@ -31,7 +31,7 @@
         # Keys that our own commits moved past `revision`: older changes of them are ignored.
         self._ahead: dict[str, int] = {}
 
-    def extras(self, key: str) -> list[str]:
+    def continuation_keys(self, key: str) -> list[str]:
         """The keys of a record's further parts that exist."""
         return self._split.continuation_keys(key)
 
--- a/src/sandladder/state/codecs/instances.py
+++ b/src/sandladder/state/codecs/instances.py
@@ -1,4 +1,4 @@
-"""The records of rented instances, and of the machine types that the cloud offers."""
+"""The records of instances, and of the machine types that the cloud offers."""
 
 from typing import Any
 
--- a/src/sandladder/state/group_commit.py
+++ b/src/sandladder/state/group_commit.py
@@ -170,8 +170,8 @@
         self._queue = [change for change in self._queue if not change.abandoned]
         if not self._queue:
             return
-        if self._limits.shrunk and clock.now() - self._shrunk_at > self._trust_s:
-            self._limits.trust()
+        if self._limits.is_shrunk and clock.now() - self._shrunk_at > self._trust_s:
+            self._limits.reset()
         self._queue.sort(key=lambda change: change.priority)
         # While the budget is short, work waits.  What a user or the lease waits for, or work that
         # must start at once, goes alone: should the store reject it, it is soon tried again.
--- a/src/sandladder/state/instances.py
+++ b/src/sandladder/state/instances.py
@@ -1,4 +1,4 @@
-"""Changes of the records of rented instances and of the machine types."""
+"""Changes of the instance records and of the machine types."""
 
 from sandladder.model import Machine, MachineType
 from sandladder.state.codecs.instances import instances_value, types_value
@@ -16,7 +16,7 @@
 def change_instances(
     transaction: Transaction, news: dict[str, Machine | None], chunk_size: int
 ) -> bool:
-    """Change the records of rented machines; relies on who runs the autoscaler not changing.
+    """Change instance records; relies on who runs the autoscaler not changing.
 
     Args:
         transaction: the transaction to add to.
--- a/src/sandladder/state/keys.py
+++ b/src/sandladder/state/keys.py
@@ -11,9 +11,9 @@
 FINAL = "s/f/"  # an archived finished job; by job
 TEAM = "s/t/"  # a team's usage (schema version 1) or assignment (version 2); by team
 NODE = "s/p/"  # a controller's machine inventory, under its lease; by controller
-INSTANCE = "s/v/"  # machines that the autoscaler rented; by number of the chunk
+INSTANCE = "s/v/"  # instances that the cloud runs for the cluster; by number of the chunk
 SUPPORT_PREFIX = "s/n/"  # which schema versions controllers support
-CONTINUATION_PREFIX = "s/x/"  # what a record longer than a value may be holds beyond its first part
+CONTINUATION_PREFIX = "s/x/"  # all parts but the first of records that are split
 MEMBERSHIP_PREFIX = "s/m/"  # written in schema version 2 only
 
 # The prefixes above have one length, so that a key's kind is a slice of it.
--- a/src/sandladder/state/schema_changes.py
+++ b/src/sandladder/state/schema_changes.py
@@ -101,8 +101,10 @@
     name = last_component(key)
     if key.startswith(JOB):
         return transaction.job(name) is not None
-    if key.startswith(INSTANCE) and int(name) in cache.chunks:
-        machines = {machine: cache.instances[machine] for machine in cache.chunks[int(name)]}
+    if key.startswith(INSTANCE) and int(name) in cache.instance_chunks:
+        machines = {
+            machine: cache.instances[machine] for machine in cache.instance_chunks[int(name)]
+        }
         transaction.put(key, instances_value(machines), cache.version(key))
         return True
     return False
--- a/src/sandladder/state/schema_migration.py
+++ b/src/sandladder/state/schema_migration.py
@@ -183,7 +183,7 @@
         if cache.autoscaler_node == self._node:
             keys += [
                 f"{INSTANCE}{chunk}"
-                for chunk, names in cache.chunks.items()
+                for chunk, names in cache.instance_chunks.items()
                 if _length(instances_value({name: cache.instances[name] for name in names})) > most
             ]
         return keys
--- a/src/sandladder/state/store_client.py
+++ b/src/sandladder/state/store_client.py
@@ -116,7 +116,7 @@
             self.writes.refused(changes)
             raise StoreRequestError("over the rate limit", answer.status)
         if answer.status == _UNAVAILABLE:
-            self.writes.unspent(changes)
+            self.writes.refund(changes)
             raise StoreUnavailableError("status 503", answer.status)
         if answer.status >= _SERVER_ERROR:
             raise UnknownOutcomeError(f"status {answer.status}", answer.status)
--- a/src/sandladder/state/store_limits.py
+++ b/src/sandladder/state/store_limits.py
@@ -113,11 +113,11 @@
         self._largest_value_bytes = smaller
         return True
 
-    def trust(self) -> None:
+    def reset(self) -> None:
         """Go back to the settings: the cause of the rejections may be over."""
         self._largest_txn_ops = self._largest_value_bytes = math.inf
 
     @property
-    def shrunk(self) -> bool:
+    def is_shrunk(self) -> bool:
         """Whether a rejection made the limits smaller than the settings."""
         return min(self._largest_txn_ops, self._largest_value_bytes) < math.inf
--- a/src/sandladder/state/token_bucket.py
+++ b/src/sandladder/state/token_bucket.py
@@ -71,7 +71,7 @@
         # The debt is bounded: what was tried in an outage must not be paid for after it.
         self._tokens = max(self._tokens - amount, -self._whole_rate)
 
-    def unspent(self, amount: float) -> None:
+    def refund(self, amount: float) -> None:
         """Give back what was spent on a request that was not carried out."""
         self._tokens += amount
 
--- a/src/sandladder/state/transaction.py
+++ b/src/sandladder/state/transaction.py
@@ -25,6 +25,12 @@
         unsure: keys that a transaction without an answer relied on, at the version that it relied
             on: nothing relies on them again before they have moved past it.
         expected_versions: by key, the version at which it must be for the transaction to apply.
+        jobs: by id, the jobs that it changes; None for those that it ends.
+        finished_jobs: by id, the outcomes of these.
+        teams: by name, the team records that it changes, in schema version 1.
+        usage: by team, what the live attempts use, in version 2, where it differs from the cache.
+        instances: all instances, if it changes any.
+        others: by key, all other records.
     """
 
     def __init__(
@@ -38,7 +44,7 @@
         self.unsure = in_doubt or {}
         self.jobs: dict[str, Job | None] = {}
         self.teams: dict[str, TeamUsage] = {}
-        self.used: dict[str, TeamUsage] = {}
+        self.usage: dict[str, TeamUsage] = {}
         self.finished_jobs: dict[str, FinishedJob] = {}
         self.others: dict[str, LeasedValue] = {}
         self.instances: dict[str, Machine] | None = None
@@ -50,7 +56,7 @@
         """A copy to try one more change on; the original stays as it is."""
         twin = Transaction(self.cache, self.value_bytes, self.unsure)
         twin.jobs = {job_id: job.copy() if job else None for job_id, job in self.jobs.items()}
-        twin.teams, twin.used = dict(self.teams), dict(self.used)
+        twin.teams, twin.usage = dict(self.teams), dict(self.usage)
         twin.finished_jobs, twin.others = dict(self.finished_jobs), dict(self.others)
         twin.instances, twin.expected_versions = self.instances, dict(self.expected_versions)
         twin._encoded = dict(self._encoded)
@@ -108,7 +114,7 @@
         """What the live attempts of a team use, with the changes made here."""
         if self.is_schema_v1:
             return self.team(name)
-        return self.used.get(name, self.cache.used.get(name, TeamUsage()))
+        return self.usage.get(name, self.cache.used.get(name, TeamUsage()))
 
     def change_usage(self, job: Job, tasks: int) -> None:
         """Change what the job's team uses by so many tasks of the job; fewer if negative."""
@@ -117,7 +123,7 @@
             self.teams[name] = self.team(name).plus(job.spec, tasks)
         else:
             # It follows from the records of the team's jobs; nothing is written of it.
-            self.used[name] = self.held(name).plus(job.spec, tasks)
+            self.usage[name] = self.held(name).plus(job.spec, tasks)
 
     # Other records
 
@@ -191,7 +197,9 @@
         KeyChange(name, value, lease if value is not None else None)
         for name, value in zip(keys, values, strict=True)
     ]
-    return puts + [KeyChange(name, None) for name in cache.extras(key) if name not in keys]
+    return puts + [
+        KeyChange(name, None) for name in cache.continuation_keys(key) if name not in keys
+    ]
 
 
 def fence_assignment(transaction: Transaction, key: str) -> bool:
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -207,7 +207,7 @@
     assert cache.unreadable == {key}
     cache.wrote(6, [(key, head), *zip(continuations, others, strict=True)])
     assert cache.jobs[found.id].done.flat() == found.done.flat()
-    assert not cache.unreadable and cache.extras(key) == continuations
+    assert not cache.unreadable and cache.continuation_keys(key) == continuations
 
 
 def test_parts_with_one_stamp_make_a_record_whichever_transactions_wrote_them() -> None:
