--- a/src/sandladder/scheduling/cluster_view.py
+++ b/src/sandladder/scheduling/cluster_view.py
@@ -78,6 +78,7 @@
         self.services = self.free_capacities.service_cpus
         self.avoids_gpus = self.gpu_protection.avoids_gpus
         self.observation = self.observations.get
+        self.age_s = self.observations.age_s
         self.outlook = self.priorities.scheduling_priority
         self.since = self.priorities.waiting_since
         self.can_wait_for_boot = self.priorities.can_wait_for_boot
@@ -132,10 +133,6 @@
             self.free_capacities.observation_changed(machine)
             self.images.note_inventory(machine, kept.seen.images)
 
-    def age_s(self, observation: MachineObservation) -> float:
-        """How old an observation is, in seconds."""
-        return self.observations.age_s(observation)
-
     def machines(self) -> KeysView[str]:
         """All machines that were observed lately."""
         return self.observations.machines()
--- a/src/sandladder/scheduling/machine_observations.py
+++ b/src/sandladder/scheduling/machine_observations.py
@@ -113,10 +113,11 @@
 
     def forget_missing(self) -> list[str]:
         """Drop the machines that have not been observed for long; which ones."""
+        now = self._time.now
         missing = [
             machine
             for machine, observation in self._latest.items()
-            if self.age_s(observation) > self._forget_after_s
+            if now - observation.at > self._forget_after_s
         ]
         for machine in missing:
             del self._latest[machine]
