--- a/src/sandladder/transport/http_server.py
+++ b/src/sandladder/transport/http_server.py
@@ -1,6 +1,7 @@
 """The HTTP/1.1 server, over anyio streams, parsed by h11, with limits and timeouts."""
 
 import logging
+from http import HTTPStatus
 
 import anyio
 import h11
@@ -139,7 +140,7 @@
     async def _receive(stream: SocketStream, conn: h11.Connection, deadline: float) -> bytes | None:
         """What comes next: empty at the end of the stream, None when nothing came in time."""
         if conn.they_are_waiting_for_100_continue:
-            go_on = h11.InformationalResponse(status_code=100, headers=[])
+            go_on = h11.InformationalResponse(status_code=HTTPStatus.CONTINUE.value, headers=[])
             await stream.send(conn.send(go_on) or b"")
         with anyio.move_on_after(max(deadline - clock.now(), 0)):
             try:
@@ -152,9 +153,10 @@
         """Answer what is no request, or too large a one, as far as that can still be answered."""
         if conn.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
-        status = 413 if isinstance(error, _BodyTooLargeError) else 400
+        too_large = isinstance(error, _BodyTooLargeError)
+        status = HTTPStatus.REQUEST_ENTITY_TOO_LARGE if too_large else HTTPStatus.BAD_REQUEST
         with anyio.move_on_after(self._read_s):
-            await stream.send(encode_response(conn, Response(status), close=True))
+            await stream.send(encode_response(conn, Response(status.value), close=True))
 
 
 def encode_response(conn: h11.Connection, response: Response, close: bool = False) -> bytes:
