--- a/tests/plays.py
+++ b/tests/plays.py
@@ -143,11 +143,9 @@
 
 
 def _cancelled_at_handover(number: int, count: int) -> None:
-    import test_cancelled
+    import test_cancelled_during_reassignment as tests
 
-    test_cancelled.test_cancelled_while_teams_are_reassigned(
-        test_cancelled.HANDOVERS[number], count
-    )
+    tests.test_cancelled_while_teams_are_reassigned(tests.HANDOVERS[number], count)
 
 
 def _late_transaction(kind: str) -> None:
--- a/tests/simulation/fault_scenarios.py
+++ b/tests/simulation/fault_scenarios.py
@@ -7,7 +7,7 @@
 import anyio
 
 from simulation.cluster import SimulatedCluster, run
-from simulation.deployment import LEASE_S
+from simulation.deployment import LEASE_S, REPORT_S, job
 from simulation.event_loop import now
 from simulation.faults import restart, running_machines
 from simulation.machines import Machine
@@ -24,6 +24,8 @@
 # How long faults wait for users to have submitted some jobs, in seconds.
 _FIRST_JOBS_S = 10.0
 _PERSISTENT_TRIES = 240
+# The run time of tasks that do not end by themselves while a test lasts.
+LONG_TASK_S = 500.0
 # At most so many machines hang with the jobs that are cancelled.
 _MOST_HUNG = 8
 
@@ -168,17 +170,61 @@
     return len(chosen)
 
 
+async def run_long_jobs(cluster: SimulatedCluster, jobs: int, **fields: Any) -> list[str]:
+    """Submit jobs of all kinds with tasks of `LONG_TASK_S`, and wait until all tasks run; the ids."""
+    kinds: list[dict[str, Any]] = [
+        {"entries": 2},
+        {"entries": 1, "bureau": "blue"},
+        {"entries": 2, "form": "group"},
+        {"entries": 2, "bookmark_s": 3.0, "stamp_s": 2.0},
+    ]
+    specs = [
+        job(
+            number,
+            **{"vcpus": 1.0, "expect_s": LONG_TASK_S, **kinds[number % len(kinds)], **fields},
+        )
+        for number in range(jobs)
+    ]
+    for spec in specs:
+        assert await cluster.submit(spec) == 201
+    tasks = sum(spec["entries"] for spec in specs)
+    await wait_until(lambda: len(running_tasks(cluster)) == tasks, 120.0, 0.2)
+    return [spec["id"] for spec in specs]
+
+
+async def cancel_all_and_recover(cluster: SimulatedCluster, ids: list[str]) -> None:
+    """End all faults, cancel these jobs, and check that everything recovers and nothing runs."""
+    cluster.network.heal()
+    cluster.store.outage(False)
+    cluster.store.refuses = set()
+    for index in range(cluster.count):
+        cluster.boot(index)
+    with anyio.fail_after(FORGOTTEN_AFTER_S):
+        for job_id in ids:
+            while await cluster.poll(job_id) is None:
+                await anyio.sleep(0.5)
+    for job_id in ids:
+        assert await cluster.cancel(job_id, 60) == "cancelled"
+    await check_recovery(cluster, ids)
+    # A machine that cannot be commanded directly just then learns of it with its next heartbeat,
+    # long before `cancel_s` has passed.
+    await wait_until(lambda: not running_tasks(cluster), 2 * REPORT_S)
+
+
 __all__ = [
     "CANCEL_S",
     "FORGOTTEN_AFTER_S",
     "LEASE_S",
     "LEFT_WAITING_S",
+    "LONG_TASK_S",
     "FaultScenario",
+    "cancel_all_and_recover",
     "cancel_running_jobs",
     "check_recovery",
     "leader",
     "restart",
     "run_and_expect",
+    "run_long_jobs",
     "run_with_faults",
     "running_machines",
     "running_tasks",
