--- a/tests/simulation/shared_state.py
+++ b/tests/simulation/shared_state.py
@@ -52,7 +52,6 @@
         self.done: set[str] = set()
         self.saved: dict[str, float] = {}  # run time that is safe in a checkpoint, in seconds
         self.starts: Counter[str] = Counter()
-        self.refused_starts = 0  # for lack of space on the machine
         self.failed_starts = 0  # on a faulty machine, or of a job that fails everywhere
         self.expired_leases = 0
         # Faults that no single part owns, as shares of what they may strike.
--- a/tests/simulation/task_executor.py
+++ b/tests/simulation/task_executor.py
@@ -45,7 +45,6 @@
             task.state, task.cause = "exited", "in_use"
         elif spec["vcpus"] > cpus or spec["gpus"] > gpus or spec["ram_gb"] > memory:
             task.state, task.cause = "exited", "full"
-            shared.refused_starts += 1
         elif self.faulty or spec["docket"] == "broken":
             task.state, task.cause = "exited", "error"
             shared.failed_starts += 1
--- a/tests/test_leaders.py
+++ b/tests/test_leaders.py
@@ -19,6 +19,10 @@
     wait_until,
 )
 from simulation.faults import random_machines, restart, running_machines
+from simulation.machines import Machine
+
+# What becomes of transactions and their responses.
+LAGS = ["answered late", "applied late", "responses lost"]
 
 
 def burst(cluster: SimulatedCluster, number: int) -> dict[str, Any]:
@@ -40,14 +44,12 @@
     return None if record is None else int(record[0].rpartition("-")[2])
 
 
-@pytest.mark.parametrize("lag", ["answered late", "applied late", "responses lost"])
+@pytest.mark.parametrize("lag", LAGS)
 @pytest.mark.parametrize("who", ["autoscaler", "leader"])
 def test_a_leader_ends_as_new_machines_get_work(who: str, lag: str) -> None:
     """New machines are up within two seconds and get work at once, while writes lag."""
-    lags = ["answered late", "applied late", "responses lost"]
-    cluster = SimulatedCluster(
-        1100 + 10 * (who == "autoscaler") + lags.index(lag), cancel_s=CANCEL_S
-    )
+    seed = 1100 + 10 * (who == "autoscaler") + LAGS.index(lag)
+    cluster = SimulatedCluster(seed, cancel_s=CANCEL_S)
     cluster.cloud.fast_boot_share, cluster.cloud.most = 1.0, 12
 
     def young() -> int:
@@ -55,13 +57,11 @@
         return sum(bool(w.tasks) and now() - w.boots_at < 4.0 for w in running_machines(cluster))
 
     async def scenario(cluster: SimulatedCluster) -> None:
+        unanswered = cluster.store.unanswered
         if lag == "answered late":
             cluster.store.late = {f"node-{i}": 0.8 for i in range(cluster.count)}
         else:
-            cluster.store.unanswered.share, cluster.store.unanswered.at_once = (
-                0.25,
-                lag == "responses lost",
-            )
+            unanswered.share, unanswered.at_once = 0.25, lag == "responses lost"
         for number in range(3):
             # By then all have been up for long, so that their silence says something.
             await anyio.sleep(2 * LEASE_S)
@@ -81,11 +81,8 @@
             await restart(cluster, leader(cluster) if index is None else index, 1.0)
             await anyio.sleep(3.0)
             cluster.network.one_way.clear()
-        cluster.store.late, cluster.store.unanswered.share, cluster.store.unanswered.at_once = (
-            {},
-            0.0,
-            False,
-        )
+        cluster.store.late = {}
+        unanswered.share, unanswered.at_once = 0.0, False
 
     run_and_expect(
         cluster,
@@ -206,6 +203,9 @@
         worker = cluster.cloud.workers.get(host)
         return worker is not None and worker.zone == zone
 
+    def tasks_inside() -> list[tuple[Machine, str]]:
+        return [(w, name.partition("/")[0]) for w, name in running_tasks(cluster) if inside(w.name)]
+
     async def scenario(cluster: SimulatedCluster) -> None:
         await anyio.sleep(8.0)
         # Its machines report to the controller of the zone.
@@ -221,25 +221,17 @@
                     cluster.network.cut(one, other, "hold" if other == "state" else "drop")
         began = now()
         await anyio.sleep(0.1)
-        at_once = {name.partition("/")[0] for w, name in running_tasks(cluster) if inside(w.name)}
-        for job_id in sorted(at_once)[:4]:
+        for job_id in sorted({job_id for _, job_id in tasks_inside()})[:4]:
             cluster.network.tasks.start_soon(cluster.cancel, job_id, 240)
         while now() < began + seconds:
-            there = [
-                (w, name)
-                for w, name in running_tasks(cluster)
-                if inside(w.name) and w.reporting_controller == 1
-            ]
-            cluster.met["work in the zone"] += bool(there)
+            reported = [job_id for w, job_id in tasks_inside() if w.reporting_controller == 1]
+            cluster.met["work in the zone"] += bool(reported)
             cancelled = {i for i, at in cluster.cancelled_at.items() if began < at < now()}
-            there = [name for _, name in there if name.partition("/")[0] in cancelled]
-            cluster.met["cancelled and still on a machine"] += len(there)
-            if (
-                there := [
-                    name.partition("/")[0] for w, name in running_tasks(cluster) if inside(w.name)
-                ]
-            ) and cluster.rng.random() < 0.3:
-                cluster.network.tasks.start_soon(cluster.cancel, cluster.rng.choice(there), 240)
+            remaining = [job_id for job_id in reported if job_id in cancelled]
+            cluster.met["cancelled and still on a machine"] += len(remaining)
+            jobs = [job_id for _, job_id in tasks_inside()]
+            if jobs and cluster.rng.random() < 0.3:
+                cluster.network.tasks.start_soon(cluster.cancel, cluster.rng.choice(jobs), 240)
             await anyio.sleep(0.5)
         cluster.network.heal()
 
