--- a/src/sandladder/agents/agent_clients.py
+++ b/src/sandladder/agents/agent_clients.py
@@ -3,29 +3,29 @@
 from collections.abc import Container
 from typing import NamedTuple
 
-from sandladder.config import split_addr
-from sandladder.transport import Connect, Requester
+from sandladder.config import parse_address
+from sandladder.transport import HttpConnector, HttpRequester
 
 _KEPT_CONNECTIONS = 1
 
 
 class _AgentClient(NamedTuple):
     addr: str
-    client: Requester
+    client: HttpRequester
 
 
 class AgentClients:
     """One client for each machine, made when it is first needed."""
 
-    def __init__(self, connect: Connect) -> None:
+    def __init__(self, connect: HttpConnector) -> None:
         self._connect = connect
         self._clients: dict[str, _AgentClient] = {}
 
-    def get(self, machine: str, addr: str) -> Requester:
+    def get(self, machine: str, addr: str) -> HttpRequester:
         """The client for a machine whose agent is served at this address."""
         known = self._clients.get(machine)
         if known is None or known.addr != addr:
-            host, port = split_addr(addr)
+            host, port = parse_address(addr)
             client = self._connect(host, port, keep=_KEPT_CONNECTIONS)
             known = self._clients[machine] = _AgentClient(addr, client)
         return known.client
--- a/src/sandladder/agents/agent_expiry.py
+++ b/src/sandladder/agents/agent_expiry.py
@@ -6,7 +6,7 @@
 from sandladder.agents.agent_redirect import AgentRedirect
 from sandladder.agents.collaborators import AgentRecords, SchedulerCallbacks, StoreAccess
 from sandladder.agents.constants import OUTCOME_LOST
-from sandladder.config import WorkerSettings
+from sandladder.config import AgentSettings
 from sandladder.membership import ControllerLease
 from sandladder.model import EndedAttempt
 
@@ -24,7 +24,7 @@
 
     def __init__(
         self,
-        workers: WorkerSettings,
+        workers: AgentSettings,
         agents: AgentRecords,
         store: StoreAccess,
         controller_lease: ControllerLease,
@@ -56,7 +56,7 @@
             self._scheduler.record_ended_attempts(self._lost_attempts(now))
             if share == 0:
                 self._forget_silent_agents(now)
-            await self._clients.close_except(self._reconciler.machines)
+            await self._clients.close_except(self._reconciler.agents)
             self._scheduler.commit_due_ends()
             self._forget_finished_jobs()
             self._scheduler.request_planning()
@@ -64,16 +64,16 @@
     async def _revisit_agents(self, share: int) -> None:
         """Take in again what the agents of a share prove; rule out late starts at any agent."""
         cache = self._store.cache
-        for number, agent in enumerate(list(self._reconciler.machines.values())):
+        for number, agent in enumerate(list(self._reconciler.agents.values())):
             if number % _SHARES == share:
-                self._scheduler.record_ended_attempts(self._reconciler.ends(agent, cache))
-            if agent.stale_start_token == self._reconciler.term and agent.accepts_token:
+                self._scheduler.record_ended_attempts(self._reconciler.proved_ends(agent, cache))
+            if agent.stale_start_token == self._reconciler.fencing_token and agent.accepts_token:
                 # Once the agent has shown a later token it refuses the start.
-                await self._controller_lease.rise_above(self._reconciler.term + 1)
+                await self._controller_lease.acquire_token_above(self._reconciler.fencing_token + 1)
 
     def _forget_silent_agents(self, now: float) -> None:
         self._reconciler.forget_silent_agents(now, _FORGOTTEN_AFTER_LEASES * self._lease_s)
-        self._scheduler.cluster.forget()
+        self._scheduler.cluster.forget_missing()
 
     def _forget_finished_jobs(self) -> None:
         """Drop the machines that jobs avoid which are no longer live."""
@@ -84,30 +84,30 @@
     def _lost_attempts(self, now: float) -> list[EndedAttempt]:
         """Attempts on machines that are gone, or whose agent's lease has surely expired."""
         cache = self._store.cache
-        self._lease_expiry.observe_sessions(cache.sessions, now)
+        self._lease_expiry.observe_sessions(cache.agent_epochs, now)
         found = []
-        for machine in cache.sessions:
+        for machine in cache.agent_epochs:
             over = self._ended_sessions(machine, now)
             if not over:
                 continue
             found += [
                 EndedAttempt(job.id, task, attempt, OUTCOME_LOST)
                 for job, task, attempt in cache.attempts_on(machine)
-                if attempt.session in over
+                if attempt.agent_epoch in over
             ]
         return found
 
     def _ended_sessions(self, machine: str, now: float) -> set[int]:
         """The sessions of a machine that have committed starts and are surely over."""
         cache, cluster = self._store.cache, self._scheduler.cluster
-        sessions = cache.sessions[machine]
+        sessions = cache.agent_epochs[machine]
         instance = cache.instances.get(machine)
         if instance is not None and instance.state == _INSTANCE_GONE:
             return set(sessions)
         observation = cluster.observation(machine)
         if observation is not None and cluster.now - observation.at < self._lease_s:
             # A later session ends what an earlier one ran.
-            return {session for session in sessions if session < observation.seen.session}
+            return {session for session in sessions if session < observation.status.agent_epoch}
         return {
             session for session in sessions if self._lease_expiry.has_expired(machine, session, now)
         }
--- a/src/sandladder/agents/agent_redirect.py
+++ b/src/sandladder/agents/agent_redirect.py
@@ -6,8 +6,8 @@
 from sandladder import clock
 from sandladder.agents.collaborators import ClusterObservations, ControllerGroup
 from sandladder.agents.reconciler import Reconciler
-from sandladder.config import WorkerSettings
-from sandladder.membership import WorkerAssignment
+from sandladder.config import AgentSettings
+from sandladder.membership import ReportingAgent, WorkerAssignment
 from sandladder.model import AgentHeartbeat
 
 log = logging.getLogger(__name__)
@@ -23,7 +23,7 @@
 
     def __init__(
         self,
-        workers: WorkerSettings,
+        workers: AgentSettings,
         group: ControllerGroup,
         reconciler: Reconciler,
         cluster: ClusterObservations,
@@ -41,23 +41,17 @@
     def target(self, heartbeat: AgentHeartbeat) -> str | None:
         """The controller that this agent should report to instead, if there is one."""
         now = clock.now()
-        known = self._reconciler.machines.get(heartbeat.machine)
+        known = self._reconciler.agents.get(heartbeat.machine)
         reports_here = known is not None and known.last_request_at > now - self._cluster.fresh_s
         membership = self._group.membership
-        loads = membership.loads(self.agent_count, self._reconciler.term)
-        calm = membership.policy.calm(now)
+        loads = membership.worker_loads(self.agent_count, self._reconciler.fencing_token)
+        stable = membership.policy.is_stable(now)
         observation = self._cluster.observation(heartbeat.machine)
         silent_s = None if observation is None else now - observation.at
-        node = self._assignment.refer(
-            heartbeat.machine,
-            heartbeat.zone,
-            heartbeat.token,
-            reports_here,
-            silent_s,
-            loads,
-            now,
-            calm,
+        agent = ReportingAgent(
+            heartbeat.machine, heartbeat.zone, heartbeat.fencing_token, reports_here, silent_s
         )
+        node = self._assignment.redirect(agent, loads, now, stable)
         if node is None:
             self.agent_count += not reports_here
             return None
@@ -70,13 +64,15 @@
         self._last_heartbeat_at, self._last_agent_count = clock.now(), self.agent_count
         observation = self._cluster.observation(heartbeat.machine)
         if observation is not None and observation.reporting_controller != self._group.node:
-            self._group.membership.detector.came_over(observation.reporting_controller, clock.now())
+            self._group.membership.detector.record_agent_failover(
+                observation.reporting_controller, clock.now()
+            )
 
     def recount(self, now: float) -> None:
         """Count the agents whose own heartbeats came of late."""
         since = now - self._cluster.fresh_s
         self.agent_count = sum(
-            agent.last_request_at > since for agent in self._reconciler.machines.values()
+            agent.last_request_at > since for agent in self._reconciler.agents.values()
         )
 
     def is_isolated(self, now: float) -> bool:
@@ -89,4 +85,4 @@
             return False
         if now - self._last_heartbeat_at <= self._isolated_after_s:
             return False
-        return self._group.membership.heard_elsewhere()
+        return self._group.membership.agents_report_elsewhere()
--- a/src/sandladder/agents/agent_service.py
+++ b/src/sandladder/agents/agent_service.py
@@ -15,8 +15,8 @@
 from sandladder.agents.heartbeat_intake import HeartbeatIntake
 from sandladder.agents.lease_renewal import LeaseRenewer
 from sandladder.concurrency import BackgroundTasks
-from sandladder.config import WorkerSettings
-from sandladder.transport import Connect, Request, Response
+from sandladder.config import AgentSettings
+from sandladder.transport import HttpConnector, Request, Response
 
 
 class AgentService:
@@ -24,8 +24,8 @@
 
     def __init__(
         self,
-        workers: WorkerSettings,
-        connect: Connect,
+        workers: AgentSettings,
+        connect: HttpConnector,
         background: BackgroundTasks,
         agents: AgentRecords,
         store: StoreAccess,
@@ -48,7 +48,7 @@
         lease = group.controller_lease
         self._redirect = AgentRedirect(workers, group, reconciler, cluster)
         intake = HeartbeatIntake(
-            workers.lease_s, background, reconciler, store, scheduler, self.push
+            workers.lease_s, background, reconciler, store, scheduler, self.send_commands
         )
         self._sender = CommandSender(
             workers.report_s, background, clients, agents, store.cache, lease, scheduler, intake
@@ -62,15 +62,15 @@
         )
 
     @property
-    def count(self) -> int:
+    def agent_count(self) -> int:
         """How many agents report to this controller."""
         return self._redirect.agent_count
 
-    async def report(self, request: Request) -> Response:
+    async def handle_heartbeat(self, request: Request) -> Response:
         """Answer an agent's heartbeat; see `HeartbeatEndpoint.handle`."""
         return await self._endpoint.handle(request)
 
-    def push(self, agent: AgentSession) -> None:
+    def send_commands(self, agent: AgentSession) -> None:
         """Send an agent its commands in the background, if there are any."""
         self._sender.send_commands(agent)
 
@@ -78,10 +78,10 @@
         """Stop at once what runs of jobs that a peer names as cancelled."""
         self._sender.stop_cancelled(job_ids)
 
-    def deaf(self, now: float) -> bool:
+    def is_isolated(self, now: float) -> bool:
         """Whether this controller is cut off from agents that others receive heartbeats of."""
         return self._redirect.is_isolated(now)
 
-    async def sweep(self) -> None:
+    async def expire_silent_agents(self) -> None:
         """Look for losses and forget silent agents until cancelled; see `AgentExpiry.run`."""
         await self._expiry.run()
--- a/src/sandladder/agents/agent_session.py
+++ b/src/sandladder/agents/agent_session.py
@@ -3,7 +3,7 @@
 import math
 
 from sandladder.agents.constants import EXIT_DONE, EXIT_ERROR, TASK_EXITED
-from sandladder.model import AgentHeartbeat, ReportedTask
+from sandladder.model import AgentHeartbeat, TaskStatus
 
 AttemptKey = tuple[str, int, int]  # job, task, attempt
 
@@ -15,14 +15,14 @@
     """
 
     def __init__(self, heartbeat: AgentHeartbeat) -> None:
-        self.report = heartbeat  # the latest
+        self.heartbeat = heartbeat  # the latest
         # When the latest heartbeat came, be it the response to a command or the agent's own
         # request, and when the latest of its own requests came.
-        self.heard_at = 0.0
+        self.last_seen_at = 0.0
         self.last_request_at = 0.0
         # When the cloud takes the machine away; None: it has given no notice.
-        self.notice_at: float | None = None
-        self.reported_tasks: dict[AttemptKey, ReportedTask] = {}
+        self.termination_at: float | None = None
+        self.reported_tasks: dict[AttemptKey, TaskStatus] = {}
         # Attempts that a heartbeat of this session has shown: none is started again.
         self.seen_attempts: set[AttemptKey] = set()
         # The agent has shown our fencing token, so it refuses commands from any controller with
@@ -39,13 +39,13 @@
         # infinite: there is none.
         self.late_start_known_until = math.inf
         self.command_in_flight = False
-        self.failed: set[str] = set()  # jobs that failed here since one succeeded
+        self.failed_jobs: set[str] = set()  # jobs that failed here since one succeeded
         self._counted_exits: set[AttemptKey] = set()
 
     @property
     def session(self) -> int:
         """The number of the agent's session; a restarted agent has a higher one."""
-        return self.report.session
+        return self.heartbeat.agent_epoch
 
     @property
     def start_may_be_late(self) -> bool:
@@ -54,21 +54,24 @@
 
     def is_newer(self, heartbeat: AgentHeartbeat) -> bool:
         """Whether a heartbeat was made after the latest that is known."""
-        known = self.report
-        return (heartbeat.session, heartbeat.seq) > (known.session, known.seq)
+        known = self.heartbeat
+        return (heartbeat.agent_epoch, heartbeat.sequence_number) > (
+            known.agent_epoch,
+            known.sequence_number,
+        )
 
     def take_in(self, heartbeat: AgentHeartbeat, now: float, *, direct: bool) -> None:
         """Note what a newer heartbeat shows; `direct`: it came as the response to a command."""
-        if heartbeat.session != self.report.session:
+        if heartbeat.agent_epoch != self.heartbeat.agent_epoch:
             self._begin_session()
-        self.report = heartbeat
-        self.heard_at = now
+        self.heartbeat = heartbeat
+        self.last_seen_at = now
         if not direct:
             self.last_request_at = now
             # The agent keeps one request in flight, so it is done with the last response.
             self.start_in_response = False
-        self.notice_at = None if heartbeat.notice_s is None else now + heartbeat.notice_s
-        self.reported_tasks = {(e.job, e.task, e.attempt): e for e in heartbeat.entries}
+        self.termination_at = None if heartbeat.notice_s is None else now + heartbeat.notice_s
+        self.reported_tasks = {(e.job, e.task, e.attempt): e for e in heartbeat.tasks}
         self.seen_attempts.update(self.reported_tasks)
         self._count_exits()
 
@@ -92,7 +95,7 @@
         """The agent was restarted: nothing of its former session is there any more."""
         self.seen_attempts = set()
         self._counted_exits = set()
-        self.failed = set()
+        self.failed_jobs = set()
         # A command for an earlier session is refused by the agent itself.
         self.rule_out_late_start()
 
@@ -103,7 +106,7 @@
                 continue
             self._counted_exits.add(key)
             if task.cause == EXIT_ERROR:
-                self.failed.add(task.job)
+                self.failed_jobs.add(task.job)
             elif task.cause == EXIT_DONE:
-                self.failed = set()
+                self.failed_jobs = set()
         self._counted_exits &= self.reported_tasks.keys()
--- a/src/sandladder/agents/collaborators.py
+++ b/src/sandladder/agents/collaborators.py
@@ -22,7 +22,7 @@
     """The latest that any controller is known to have observed of a machine."""
 
     @property
-    def seen(self) -> MachineStatus:
+    def status(self) -> MachineStatus:
         """The machine's status."""
 
     @property
@@ -48,13 +48,13 @@
     def observation(self, machine: str) -> Observation | None:
         """The latest observation of a machine."""
 
-    def heard(self, agent: AgentSession) -> None:
+    def record_heartbeat(self, agent: AgentSession) -> None:
         """Take in what an agent's latest heartbeat shows."""
 
-    def touch(self, machine: str) -> None:
+    def machine_changed(self, machine: str) -> None:
         """Work out anew what is derived of a machine."""
 
-    def forget(self) -> None:
+    def forget_missing(self) -> None:
         """Drop the machines that no controller has observed for long."""
 
 
--- a/src/sandladder/agents/command_sender.py
+++ b/src/sandladder/agents/command_sender.py
@@ -16,15 +16,13 @@
 from sandladder.concurrency import BackgroundTasks
 from sandladder.membership import ControllerLease
 from sandladder.model import AgentHeartbeat, Command
-from sandladder.protocol import wire
+from sandladder.protocol import MalformedMessageError, agent_messages, loads
 from sandladder.state import StateCache
 from sandladder.transport import HttpError
 
 log = logging.getLogger(__name__)
 
 _OK = 200
-# The key of the protocol under which a command names the agent's session.
-_SESSION_KEY = "shift"
 
 
 class _CommandBatch(NamedTuple):
@@ -36,7 +34,7 @@
     @property
     def has_start(self) -> bool:
         """Whether any of them starts an attempt."""
-        return any(command.op == START for command in self.commands)
+        return any(command.operation == START for command in self.commands)
 
 
 class _CommandResponse(NamedTuple):
@@ -81,17 +79,17 @@
         ):
             return
         commands = self._reconciler.commands(agent, self._cache)
-        if any(command.op != FORGET for command in commands):
+        if any(command.operation != FORGET for command in commands):
             agent.command_in_flight = True
             self._background.start_soon(self._command, agent)
 
     def stop_cancelled(self, job_ids: list[str]) -> None:
         """Stop at once what runs of jobs that a peer names as cancelled, each committed so."""
-        for job_id in self._cache.tell(job_ids, clock.now()):
+        for job_id in self._cache.add_peer_cancellations(job_ids, clock.now()):
             job = self._cache.jobs.get(job_id)
             attempts = job.live.values() if job is not None else ()
             for machine in dict.fromkeys(attempt.machine for attempt in attempts):
-                agent = self._reconciler.machines.get(machine)
+                agent = self._reconciler.agents.get(machine)
                 if agent is not None:
                     self.send_commands(agent)
 
@@ -100,12 +98,12 @@
 
         Cancelled, as this process ends, it leaves open whether the agent took the batch in.
         """
-        machine = agent.report.machine
+        machine = agent.heartbeat.machine
         try:
             more_to_send = await self._send_batch(agent)
         finally:
             agent.command_in_flight = False
-        if more_to_send and self._reconciler.machines.get(machine) is agent:
+        if more_to_send and self._reconciler.agents.get(machine) is agent:
             self.send_commands(agent)
 
     async def _send_batch(self, agent: AgentSession) -> bool:
@@ -113,7 +111,7 @@
         commands = self._reconciler.commands(agent, self._cache)
         if not commands or not self._controller_lease.alive():
             return False
-        batch = _CommandBatch(self._reconciler.term, commands)
+        batch = _CommandBatch(self._reconciler.fencing_token, commands)
         if batch.has_start:
             known_until = self._renewal_guard.cancellations_known_until()
             agent.late_start_known_until = min(agent.late_start_known_until, known_until)
@@ -127,14 +125,16 @@
 
     async def _request(self, agent: AgentSession, batch: _CommandBatch) -> _CommandResponse | None:
         """Send a batch; None if no usable response came, and the agent may have taken it in."""
-        machine, addr = agent.report.machine, agent.report.addr
-        body = wire.commands_value(batch.token, batch.commands) | {_SESSION_KEY: agent.session}
+        machine, addr = agent.heartbeat.machine, agent.heartbeat.addr
+        body = agent_messages.direct_commands_body(agent.session, batch.token, batch.commands)
         try:
             response = await self._clients.get(machine, addr).request(
-                "POST", wire.COMMANDS, wire.dumps(body), timeout=self._timeout_s
+                "POST", agent_messages.COMMANDS_PATH, body, timeout=self._timeout_s
             )
-            return _CommandResponse(response.status, wire.parse_report(wire.loads(response.body)))
-        except (HttpError, wire.MalformedMessageError) as error:
+            return _CommandResponse(
+                response.status, agent_messages.parse_heartbeat(loads(response.body))
+            )
+        except (HttpError, MalformedMessageError) as error:
             log.info("machine %s did not answer a command: %s", machine, error)
             return None
 
@@ -142,7 +142,7 @@
         self, agent: AgentSession, batch: _CommandBatch, response: _CommandResponse
     ) -> bool:
         """Take in the response to a batch; whether there are more commands to send at once."""
-        machine, heartbeat = agent.report.machine, response.heartbeat
+        machine, heartbeat = agent.heartbeat.machine, response.heartbeat
         if heartbeat.machine != machine:
             log.warning("%s answers at the address of %s", heartbeat.machine, machine)
             return False
@@ -150,7 +150,7 @@
         if agent.stale_start_token is None:
             agent.late_start_known_until = math.inf
         if response.status != _OK:
-            if heartbeat.token > batch.token:
+            if heartbeat.fencing_token > batch.token:
                 self._reconciler.revoke_token(machine)
             return False
         self._scheduler.record_ended_attempts(
@@ -163,4 +163,4 @@
 
 def _keys(commands: Iterable[Command]) -> set[AttemptKey]:
     """The attempts that commands start or stop."""
-    return {(c.job, c.task, c.attempt) for c in commands if c.op != FORGET}
+    return {(c.job, c.task, c.attempt) for c in commands if c.operation != FORGET}
--- a/src/sandladder/agents/heartbeat_endpoint.py
+++ b/src/sandladder/agents/heartbeat_endpoint.py
@@ -10,7 +10,7 @@
 from sandladder.agents.lease_renewal import LeaseRenewer
 from sandladder.agents.reconciler import Reconciler
 from sandladder.model import AgentHeartbeat
-from sandladder.protocol import wire
+from sandladder.protocol import MalformedMessageError, agent_messages, dumps, job_messages, loads
 from sandladder.transport import Request, Response, peer_transport
 
 # The statuses of the protocol's responses.
@@ -56,14 +56,14 @@
         Cancelled there, the heartbeat counts as not received.
         """
         try:
-            heartbeat = wire.parse_report(wire.loads(request.body))
-        except wire.MalformedMessageError as error:
-            return Response(_MALFORMED, wire.error_body(str(error)))
+            heartbeat = agent_messages.parse_heartbeat(loads(request.body))
+        except MalformedMessageError as error:
+            return Response(_MALFORMED, job_messages.error_body(str(error)))
         redirected = self._redirect_elsewhere(heartbeat)
         if redirected is not None:
             return redirected
-        if heartbeat.token > self._reconciler.term:
-            raised = await self._group.controller_lease.rise_above(heartbeat.token)
+        if heartbeat.fencing_token > self._reconciler.fencing_token:
+            raised = await self._group.controller_lease.acquire_token_above(heartbeat.fencing_token)
             if not raised:
                 return _redirect_response(None)
         return self._accept(heartbeat)
@@ -72,8 +72,8 @@
         """The response that redirects an agent to another controller, if it should go there."""
         peers = self._group.peers
         if not self._renewer.permitted():
-            return _redirect_response(peers.abler())
-        if not self._store.reachable() and (peer := peers.abler()):
+            return _redirect_response(peers.find_serving_peer())
+        if not self._store.reachable() and (peer := peers.find_serving_peer()):
             # Commands for the agent are not known here any more, and a peer can read them.
             return _redirect_response(peer)
         if (node := self._redirect.target(heartbeat)) is not None:
@@ -83,35 +83,37 @@
     def _accept(self, heartbeat: AgentHeartbeat) -> Response:
         """Take in the heartbeat of an agent that reports here, and answer it."""
         self._redirect.accept(heartbeat)
-        known = self._reconciler.machines.get(heartbeat.machine)
+        known = self._reconciler.agents.get(heartbeat.machine)
         before = None if known is None else _published_state(known)
         agent = self._intake.receive(heartbeat, direct=False)
         if agent is None:
-            return Response(_OUTDATED, wire.error_body("a newer report is known"))
+            return Response(_OUTDATED, job_messages.error_body("a newer report is known"))
         if before != _published_state(agent):
             self._publish(agent)
-        commands = self._reconciler.answer(agent, self._store.cache)
+        commands = self._reconciler.response_commands(agent, self._store.cache)
         if not self._renewer.renew(agent):
             return _redirect_response(None)
-        if any(command.op == START for command in commands):
+        if any(command.operation == START for command in commands):
             agent.start_in_response = True
-        return Response(_OK, wire.dumps(wire.commands_value(self._reconciler.term, commands)))
+        return Response(
+            _OK, dumps(agent_messages.commands_value(self._reconciler.fencing_token, commands))
+        )
 
     def _publish(self, agent: AgentSession) -> None:
         """Send the others a machine that came or changed, ahead of this controller's inventory."""
-        machine = agent.report.machine
+        machine = agent.heartbeat.machine
         observation = self._cluster.observation(machine)
         if observation is None:
             return
         for connection in self._group.peers.connections.values():
             connection.send(
-                peer_transport.MachineUpdate(self._group.node, machine, observation.seen)
+                peer_transport.MachineUpdate(self._group.node, machine, observation.status)
             )
 
 
 def _published_state(agent: AgentSession) -> _PublishedState:
-    return _PublishedState(agent.session, agent.notice_at is not None, len(agent.failed))
+    return _PublishedState(agent.session, agent.termination_at is not None, len(agent.failed_jobs))
 
 
 def _redirect_response(node: str | None) -> Response:
-    return Response(_REDIRECTED, wire.redirect_body(node))
+    return Response(_REDIRECTED, agent_messages.redirect_body(node))
--- a/src/sandladder/agents/heartbeat_intake.py
+++ b/src/sandladder/agents/heartbeat_intake.py
@@ -48,13 +48,13 @@
             The agent's session; None if a later heartbeat is known.
         """
         now = self._scheduler.advance_time()
-        agent, is_new = self._reconciler.heard(heartbeat, now, direct=direct)
+        agent, is_new = self._reconciler.receive_heartbeat(heartbeat, now, direct=direct)
         if not is_new:
             return None
-        self._scheduler.cluster.heard(agent)
+        self._scheduler.cluster.record_heartbeat(agent)
         if agent.accepts_token and not agent.synced and self._background.running:
             self._background.start_soon(self._synchronize, agent, agent.acceptance_count)
-        ended = self._reconciler.ends(agent, self._store.cache)
+        ended = self._reconciler.proved_ends(agent, self._store.cache)
         self._scheduler.record_ended_attempts(ended)
         return agent
 
@@ -68,6 +68,6 @@
             still_accepts = agent.accepts_token and agent.acceptance_count == acceptance_count
             if still_accepts and not agent.synced:
                 agent.synced = True
-                self._scheduler.cluster.touch(agent.report.machine)
+                self._scheduler.cluster.machine_changed(agent.heartbeat.machine)
                 self._send_commands(agent)
                 self._scheduler.request_planning()
--- a/src/sandladder/agents/lease_expiry.py
+++ b/src/sandladder/agents/lease_expiry.py
@@ -90,7 +90,7 @@
         """This controller is about to answer the agent on a machine with its fencing token."""
         self._answered_at[machine] = now
 
-    def age(self, machine: str, now: float) -> float | None:
+    def answer_age_s(self, machine: str, now: float) -> float | None:
         """How many seconds ago this controller answered, while that is worth listing."""
         answered_at = self._answered_at.get(machine)
         if answered_at is None or now - answered_at > self._listed_s:
@@ -98,11 +98,11 @@
             return None
         return now - answered_at
 
-    def machines(self) -> list[str]:
+    def answered_machines(self) -> list[str]:
         """The machines whose agents this controller answered of late."""
         return list(self._answered_at)
 
-    def up_s(self, now: float) -> float:
+    def uptime_s(self, now: float) -> float:
         """For how many seconds this process has been running."""
         return now - self._started_at
 
@@ -119,14 +119,14 @@
             for session in numbers
         }
 
-    def synced(self, sent_at: float, revision: int) -> None:
+    def record_store_read(self, sent_at: float, revision: int) -> None:
         """A reading of the store that was sent then reached this revision."""
         self._last_read_at = max(self._last_read_at, sent_at)
         readings = self._readings
         if not readings or sent_at - readings[-1].sent_at > self._needed_s / _READINGS_PER_LEASE:
             readings.append(_StoreReading(sent_at, revision))
 
-    def observe(
+    def observe_inventories(
         self, nodes: dict[str, MachineInventory], now: float, unreadable_nodes: Collection[str] = ()
     ) -> None:
         """Take in the inventories that are in the records now.
@@ -157,7 +157,7 @@
             made_after = self._not_before(inventory.revision)
             self._observations[name] = _Observation(inventory, now, made_after)
 
-    def statements(self) -> Iterator[PeerInventory]:
+    def peer_inventories(self) -> Iterator[PeerInventory]:
         """The other controllers' inventories."""
         for node, observation in self._observations.items():
             yield PeerInventory(node, observation.inventory, observation.received_at)
--- a/src/sandladder/agents/lease_renewal.py
+++ b/src/sandladder/agents/lease_renewal.py
@@ -41,7 +41,7 @@
             return False
         if not self._renewal_guard.permits_renewal(now, agent.late_start_known_until):
             return False
-        self._lease_expiry.record_answer(agent.report.machine, now)
+        self._lease_expiry.record_answer(agent.heartbeat.machine, now)
         return True
 
     def _is_suspended(self) -> bool:
--- a/src/sandladder/agents/lease_renewal_guard.py
+++ b/src/sandladder/agents/lease_renewal_guard.py
@@ -19,7 +19,7 @@
 import math
 from collections.abc import Iterable
 
-from sandladder.config import WorkerSettings
+from sandladder.config import AgentSettings
 from sandladder.model import ClockReading
 
 
@@ -36,7 +36,7 @@
     """Up to which moment this controller surely knows all cancellations confirmed to users."""
 
     def __init__(
-        self, node: str, peers: Iterable[str], process: int, workers: WorkerSettings
+        self, node: str, peers: Iterable[str], process: int, workers: AgentSettings
     ) -> None:
         """Begin without any knowledge: no lease may be renewed.
 
@@ -48,16 +48,16 @@
         """
         self._node, self._process = node, process
         self._peers = {name: _Peer() for name in peers}
-        self._max_age_s = workers.knowledge_s
+        self._max_age_s = workers.cancellation_knowledge_age_s
         self._last_read_at = -math.inf  # when our newest reading of the store was sent
         # The latest clock reading received of each peer, to be acknowledged to it.
-        self.echoes: dict[str, ClockReading] = {}
+        self.acknowledged_readings: dict[str, ClockReading] = {}
 
-    def read(self, sent_at: float) -> None:
+    def record_store_read(self, sent_at: float) -> None:
         """The response to a reading of the store that was sent then has come."""
         self._last_read_at = max(self._last_read_at, sent_at)
 
-    def heard(
+    def record_peer_heartbeat(
         self,
         node: str,
         made_at: ClockReading,
@@ -77,7 +77,7 @@
         peer = self._peers.get(node)
         if peer is None:
             return
-        self.echoes[node] = made_at
+        self.acknowledged_readings[node] = made_at
         if peer.process != made_at.process:
             peer.process, peer.first_heartbeat_at = made_at.process, now
             peer.known_until = -math.inf
--- a/src/sandladder/agents/reporting_agents.py
+++ b/src/sandladder/agents/reporting_agents.py
@@ -40,22 +40,22 @@
         """The agents as of now."""
         now = self._advance_time()
         machines = {}
-        for machine in self._lease_expiry.machines():
-            age_s = self._lease_expiry.age(machine, now)
-            agent = self._reconciler.machines.get(machine)
+        for machine in self._lease_expiry.answered_machines():
+            age_s = self._lease_expiry.answer_age_s(machine, now)
+            agent = self._reconciler.agents.get(machine)
             if age_s is not None and agent is not None:
                 machines[machine] = self._status(machine, agent, age_s, now)
-        return AgentInventory(round(self._lease_expiry.up_s(now), 2), machines)
+        return AgentInventory(round(self._lease_expiry.uptime_s(now), 2), machines)
 
     def _status(self, machine: str, agent: AgentSession, age_s: float, now: float) -> MachineStatus:
-        heartbeat, notice_at = agent.report, agent.notice_at
+        heartbeat, notice_at = agent.heartbeat, agent.termination_at
         return MachineStatus(
             type=heartbeat.type,
             zone=heartbeat.zone,
             spot=heartbeat.spot,
-            session=heartbeat.session,
+            agent_epoch=heartbeat.agent_epoch,
             age_s=round(age_s, 2),
             notice_s=None if notice_at is None else round(notice_at - now, 1),
-            errors=len(agent.failed),
-            images=tuple(self._images(machine, heartbeat.session)[-_LISTED_IMAGES:]),
+            errors=len(agent.failed_jobs),
+            images=tuple(self._images(machine, heartbeat.agent_epoch)[-_LISTED_IMAGES:]),
         )
--- a/src/sandladder/api/admission.py
+++ b/src/sandladder/api/admission.py
@@ -41,10 +41,10 @@
 
         Raises and is cancelled as `DependencyCheck.check`.
         """
-        if not self._cache.types:
+        if not self._cache.machine_types:
             return RetryLater("the machine types are not known yet")
         spec, names = submission
-        reason = rejection(spec, self._cache.types, self._team_limits)
+        reason = rejection(spec, self._cache.machine_types, self._team_limits)
         if reason is not None:
             return NeverRunnable(reason)
         dependencies = SubmittedDependencies()
@@ -67,8 +67,8 @@
         else:
             parts = split_value(record, self._store_limits.value_bytes)
             size = sum(len(msgspec.json.encode(part)) for part in parts)
-            if spec.kind == GANG and spec.tasks > self._store_limits.most_live(size):
+            if spec.kind == GANG and spec.tasks > self._store_limits.most_live_tasks(size):
                 return "so many tasks at a time are more than can be kept"
-        if size > self._store_limits.spec_room():
+        if size > self._store_limits.most_spec_bytes():
             return "its description is too large to be kept"
         return None
--- a/src/sandladder/api/cancellation.py
+++ b/src/sandladder/api/cancellation.py
@@ -12,7 +12,7 @@
 from sandladder.protocol.job_messages import is_job_id
 from sandladder.scheduling import ClusterView
 from sandladder.state import (
-    P_USER,
+    PRIORITY_REQUEST,
     GroupCommitter,
     PendingChange,
     PreconditionFailedError,
@@ -87,7 +87,9 @@
             cancel(transaction, job_id, self._wall())
             return True
 
-        change = PendingChange(f"cancel {job_id}", P_USER, _CHANGES_OF_A_CANCELLATION, apply)
+        change = PendingChange(
+            f"cancel {job_id}", PRIORITY_REQUEST, _CHANGES_OF_A_CANCELLATION, apply
+        )
         with anyio.fail_after(self._timeout_s):
             await self._committer.add(change).wait()
 
--- a/src/sandladder/api/dependency_check.py
+++ b/src/sandladder/api/dependency_check.py
@@ -56,7 +56,7 @@
                     return _impossible(f"{name} is a service and never done")
                 else:
                     live.append(job)
-            finished_jobs = await self._dependency_resolver.finished_jobs(not_live)
+            finished_jobs = await self._dependency_resolver.read_finished_jobs(not_live)
         for name, final in finished_jobs.items():
             if final is None:
                 return _impossible(f"{name} was never accepted")
--- a/src/sandladder/api/forwarding.py
+++ b/src/sandladder/api/forwarding.py
@@ -55,12 +55,12 @@
                 return response
             path = path_of(request)
             log.info("the key-value store does not answer: forwarding %s to %s", path, peer)
-        return await self._peers.relay(request, peer)
+        return await self._peers.forward(request, peer)
 
     def _able_peer(self, request: Request) -> str | None:
         """A peer that reaches the store and understands the request, if there is one."""
         names_others = path_of(request) == JOBS_PATH and has_dependencies(request.body)
-        return self._peers.abler(SCHEMA_V2 if names_others else SCHEMA_V1)
+        return self._peers.find_serving_peer(SCHEMA_V2 if names_others else SCHEMA_V1)
 
     async def _serve_while_store_answers(
         self, request: Request, serve_here: Handler
@@ -79,7 +79,7 @@
             while response is None:
                 with anyio.move_on_after(self._check_interval_s):
                     await served.wait()
-                if clock.now() - self._store.ok_at > self._silence_s:
+                if clock.now() - self._store.last_answer_at > self._silence_s:
                     break
             tasks.cancel_scope.cancel()
         return response
--- a/src/sandladder/api/health.py
+++ b/src/sandladder/api/health.py
@@ -28,8 +28,8 @@
 
     def answer(self) -> Answer:
         """Answer a health check."""
-        if not self._watch.loaded or not self._cache.types:
+        if not self._watch.loaded or not self._cache.machine_types:
             return Unhealthy()
-        if not self._store_reachable() and self._peers.abler() is not None:
+        if not self._store_reachable() and self._peers.find_serving_peer() is not None:
             return Unhealthy()
         return Healthy()
--- a/src/sandladder/api/job_lookup.py
+++ b/src/sandladder/api/job_lookup.py
@@ -6,7 +6,7 @@
 from sandladder.jobs import DependencyResolver
 from sandladder.model import CANCELLED, DependencyOutcome, FinishedJob, Job
 from sandladder.protocol.job_messages import is_job_id
-from sandladder.state import JOB, StateCache, StoreRequestError, StoreWatch
+from sandladder.state import JOB_PREFIX, StateCache, StoreRequestError, StoreWatch
 
 
 class JobLookup:
@@ -48,17 +48,17 @@
             StoreRequestError: the store cannot be read, or the job's record is of unknown shape.
             TimeoutError: it took too long.
         """
-        final = self._cache.final(job_id)
+        final = self._cache.finished_job(job_id)
         if final is not None:
             return final
         with anyio.fail_after(self._timeout_s):
             await self._watch.barrier()
             job = self.live_job(job_id)
             if job is None:
-                return (await self._dependency_resolver.finished_jobs([job_id]))[job_id]
+                return (await self._dependency_resolver.read_finished_jobs([job_id]))[job_id]
             # A job that one of these cancels may have been called cancelled by a controller that
             # knew of it: no later answer may be older.
-            unresolved = self._cache.dependency_index.uncertain(job)
+            unresolved = self._cache.dependency_index.unresolved_dependencies(job)
             if unresolved:
                 await self._dependency_resolver.resolve(unresolved)
             return job
@@ -69,14 +69,14 @@
         Raises:
             StoreRequestError: its record is of unknown shape, so nothing can be said of it.
         """
-        if JOB + job_id in self._cache.unreadable:
+        if JOB_PREFIX + job_id in self._cache.unreadable:
             raise StoreRequestError(f"the record of {job_id} cannot be read")
         return self._cache.jobs.get(job_id)
 
     def state(self, job: Job) -> str:
         """A live job's state; one that can never start is cancelled, as the records imply."""
-        outcome = self._cache.dependency_index.fate(job)
-        return CANCELLED if outcome is DependencyOutcome.DOOMED else job.state
+        outcome = self._cache.dependency_index.outcome(job)
+        return CANCELLED if outcome is DependencyOutcome.CANCELLED else job.state
 
     def answer(self, job_id: str, found: Job | FinishedJob | None) -> KnownJob | UnknownJob:
         """What to answer about a job that was looked up."""
--- a/src/sandladder/api/submission.py
+++ b/src/sandladder/api/submission.py
@@ -21,8 +21,8 @@
 from sandladder.protocol import MalformedMessageError
 from sandladder.protocol.job_messages import job_id_of, parse_submission
 from sandladder.state import (
-    FINAL,
-    P_USER,
+    FINISHED_JOB_PREFIX,
+    PRIORITY_REQUEST,
     GroupCommitter,
     PendingChange,
     PreconditionFailedError,
@@ -80,7 +80,7 @@
             job_id = job_id_of(body)
             return refusal if job_id is None else await self._unless_accepted(job_id, refusal)
         spec = submission.spec
-        if spec.id in self._cache.jobs or self._cache.final(spec.id):
+        if spec.id in self._cache.jobs or self._cache.finished_job(spec.id):
             return self._lookup.answer(spec.id, await self._lookup.find(spec.id))
         checked = await self._admission.check(submission)
         if isinstance(checked, NeverRunnable):
@@ -106,10 +106,10 @@
 
         change = PendingChange(
             f"submission of {spec.id}",
-            P_USER,
+            PRIORITY_REQUEST,
             _CHANGES_OF_A_SUBMISSION,
             apply,
-            final=FINAL + spec.id,
+            settled_by_key=FINISHED_JOB_PREFIX + spec.id,
         )
         try:
             with anyio.fail_after(self._timeout_s):
@@ -119,7 +119,7 @@
         self._peers.notify({self._peers.assignee(spec.team)})
         # Another controller may have answered with a later state already, from the same commit:
         # no earlier one is given here.
-        found = self._cache.jobs.get(spec.id) or self._cache.final(spec.id)
+        found = self._cache.jobs.get(spec.id) or self._cache.finished_job(spec.id)
         known = self._lookup.answer(spec.id, found)
         if isinstance(known, UnknownJob):
             return RetryLater()  # gone from memory meanwhile: a read finds it
--- a/src/sandladder/autoscaling/autoscaler.py
+++ b/src/sandladder/autoscaling/autoscaler.py
@@ -14,7 +14,7 @@
 from sandladder.autoscaling.instance_records import InstanceRecordWriter
 from sandladder.autoscaling.machine_types import MachineTypeUpdater
 from sandladder.autoscaling.scaling_policy import ScalingPolicy
-from sandladder.protocol import wire
+from sandladder.protocol import MalformedMessageError
 from sandladder.scheduling import ClusterView
 from sandladder.state import (
     GroupCommitter,
@@ -24,7 +24,7 @@
     StoreLimits,
     StoreRequestError,
 )
-from sandladder.transport import Connect
+from sandladder.transport import HttpConnector
 
 log = logging.getLogger(__name__)
 
@@ -48,7 +48,7 @@
         committer: GroupCommitter,
         limits: StoreLimits,
         cloud: CloudClient,
-        connect: Connect,
+        connect: HttpConnector,
         controller: ControllerStatus,
     ) -> None:
         """
@@ -122,13 +122,13 @@
                 StoreRequestError,
                 LeaseExpiredError,
                 PreconditionFailedError,
-                wire.MalformedMessageError,
+                MalformedMessageError,
             ) as error:
                 log.info("no scaling this round: %s", error)
 
     async def _round(self) -> None:
         now = self._cluster_view.now = clock.now()
-        self._cluster_view.ahead = self._controller.wall() - now
+        self._cluster_view.wall_offset_s = self._controller.wall() - now
         self._policy.observe_jobs()
         await self._types.update(self._lease.acquired)
         if await self._lease.ensure():
@@ -155,7 +155,7 @@
         """Ask for instances, for all at once: the rest of a round should not wait for refusals."""
         async with anyio.create_task_group() as launches:
             wall = self._controller.wall()
-            for request in self._policy.rental_requests(wall, self._records.unwritten):
+            for request in self._policy.scale_out_requests(wall, self._records.unwritten):
                 if self._cloud.rate_limit.delay(1) > 0:
                     break  # the most urgent come first; the rest is worked out anew next time
                 launches.start_soon(self._launcher.launch, request)
--- a/src/sandladder/autoscaling/autoscaler_lease.py
+++ b/src/sandladder/autoscaling/autoscaler_lease.py
@@ -6,8 +6,8 @@
 from sandladder import clock
 from sandladder.autoscaling.controller_status import ControllerStatus
 from sandladder.state import (
-    P_WORK,
-    RENTER,
+    AUTOSCALER_KEY,
+    PRIORITY_JOB,
     GroupCommitter,
     LeaseExpiredError,
     LeaseRenewal,
@@ -81,7 +81,7 @@
             return False
         if self._renewal is None:
             return await self._acquire_if_free(now)
-        if self._cache.version(RENTER) != self._version:
+        if self._cache.version(AUTOSCALER_KEY) != self._version:
             # Another process took it, one under our own name perhaps: two scaled side by side.
             self._renewal = None
             return False
@@ -105,13 +105,15 @@
         def apply(transaction: Transaction) -> bool:
             if not self._may_acquire(transaction.cache):
                 raise PreconditionFailedError("another controller is the autoscaler")
-            transaction.put(RENTER, self._node, transaction.cache.version(RENTER), lease)
+            transaction.put(
+                AUTOSCALER_KEY, self._node, transaction.cache.version(AUTOSCALER_KEY), lease
+            )
             return True
 
-        change = PendingChange("autoscaler lease", P_WORK, 1, apply, leased=True)
+        change = PendingChange("autoscaler lease", PRIORITY_JOB, 1, apply, leased=True)
         await self._committer.add(change).wait()
         self._renewal = self._counted_from(lease, now)
-        self._version = self._cache.version(RENTER)
+        self._version = self._cache.version(AUTOSCALER_KEY)
         self._on_acquired()
         log.info("%s is the autoscaler now", self._node)
         return True
--- a/src/sandladder/autoscaling/cloud_client.py
+++ b/src/sandladder/autoscaling/cloud_client.py
@@ -3,15 +3,13 @@
 from sandladder.autoscaling.offers import ScaleOutRequest
 from sandladder.errors import SandladderError
 from sandladder.model import ListedMachine, MachineType
-from sandladder.protocol import wire
+from sandladder.protocol import cloud_messages
 from sandladder.state import AdaptiveTokenBucket
-from sandladder.transport import HttpError, Requester, Response
+from sandladder.transport import HttpError, HttpRequester, Response
 
 _OK, _OVER_RATE_LIMIT, _UNAVAILABLE = 200, 429, 503
 # How many instances one request may return.
 MOST_RETURNED = 100
-# How many machines a page of the list may have.
-_PAGE_SIZE = 500
 
 
 class CloudError(SandladderError):
@@ -34,11 +32,11 @@
     """Requests to the cloud, counted against its rate limit.
 
     Every method raises `CloudError` when there is no usable answer in time, and
-    `wire.MalformedMessageError` for an answer that makes no sense.  After an error, or cancelled,
+    `MalformedMessageError` for an answer that makes no sense.  After an error, or cancelled,
     a request may have been carried out or not.
     """
 
-    def __init__(self, client: Requester, timeout: float, rps: float) -> None:
+    def __init__(self, client: HttpRequester, timeout: float, rps: float) -> None:
         """
         Args:
             client: sends the requests.
@@ -51,7 +49,9 @@
 
     async def machine_types(self) -> dict[str, MachineType]:
         """The machine types that the cloud has, by name."""
-        return wire.parse_catalog((await self._request("GET", wire.CATALOG)).body)
+        return cloud_messages.parse_catalog(
+            (await self._request("GET", cloud_messages.CATALOG_PATH)).body
+        )
 
     async def create_instances(self, name: str, request: ScaleOutRequest) -> list[str]:
         """Ask for instances; the names of those that were created, perhaps fewer.
@@ -63,21 +63,26 @@
         Raises:
             NoCapacityError: the cloud has none of these now.
         """
-        body = wire.hire_body(name, request.type, request.zone, request.spot, request.number)
-        return wire.parse_hired((await self._request("POST", wire.MACHINES, body)).body)
+        body = cloud_messages.rental_body(
+            name, request.type, request.zone, request.spot, request.number
+        )
+        return cloud_messages.parse_rented(
+            (await self._request("POST", cloud_messages.MACHINES_PATH, body)).body
+        )
 
     async def return_instances(self, machines: list[str]) -> None:
         """Return instances; once this returns they and all that ran on them are gone."""
-        await self._request("POST", wire.RETURN, wire.return_body(machines))
+        await self._request(
+            "POST", cloud_messages.RETURN_PATH, cloud_messages.return_body(machines)
+        )
 
     async def list_machines(self) -> list[ListedMachine]:
         """The whole list of machines, page by page; it may be older than the last one."""
         found: list[ListedMachine] = []
         after = ""
         while True:
-            start = f"after={after}&" if after else ""
-            answer = await self._request("GET", f"{wire.MACHINES}?{start}most={_PAGE_SIZE}")
-            page, more = wire.parse_machines(answer.body)
+            answer = await self._request("GET", cloud_messages.machines_target(after))
+            page, more = cloud_messages.parse_machines(answer.body)
             found += page
             if not more or not page:
                 return found
@@ -90,9 +95,9 @@
         except HttpError as error:
             raise CloudError(str(error)) from None
         if answer.status == _OVER_RATE_LIMIT:
-            self.rate_limit.refused(1)
+            self.rate_limit.on_rejected(1)
             raise CloudError("over the rate limit", answer.status)
-        self.rate_limit.allowed()
+        self.rate_limit.on_allowed()
         if answer.status == _UNAVAILABLE and b"no capacity" in answer.body:
             raise NoCapacityError("no capacity", answer.status)
         if answer.status != _OK:
--- a/src/sandladder/autoscaling/headroom.py
+++ b/src/sandladder/autoscaling/headroom.py
@@ -6,7 +6,7 @@
 from sandladder.autoscaling.scaling_inputs import ScalingInputs
 from sandladder.autoscaling.zone_choice import single_zone
 from sandladder.model import JobSpec
-from sandladder.scheduling import Shortage, ZoneShares, fill
+from sandladder.scheduling import Shortage, ZoneQuota, pack
 
 # Classes whose tasks may wait for longer than so many worker leases get no headroom.
 _PROMPT_LEASES = 2
@@ -29,7 +29,7 @@
         count = _headroom_tasks(inputs, recent, start_within_s)
         zones = _zone_shares(inputs, spec, count)
         keep_gpus = cluster_view.avoids_gpus(spec)
-        missing = count - fill(spec, count, inputs.bins, zones=zones, keep_gpus=keep_gpus)
+        missing = count - pack(spec, count, inputs.bins, zones=zones, keep_gpus=keep_gpus)
         if missing:
             shortages.append(Shortage(spec, not spec.spot, missing, zones))
     return shortages
@@ -52,8 +52,8 @@
     return max(1, round(count * ratio)) if ratio else 0
 
 
-def _zone_shares(inputs: ScalingInputs, spec: JobSpec, count: int) -> ZoneShares | None:
+def _zone_shares(inputs: ScalingInputs, spec: JobSpec, count: int) -> ZoneQuota | None:
     """How much of the headroom each zone may have; None if any zone will do."""
     if spec.one_zone and count:
         return single_zone(inputs, spec, count)
-    return ZoneShares((count + 1) // 2, Counter()) if spec.spread else None
+    return ZoneQuota((count + 1) // 2, Counter()) if spec.spread else None
--- a/src/sandladder/autoscaling/instance_drainer.py
+++ b/src/sandladder/autoscaling/instance_drainer.py
@@ -11,11 +11,11 @@
 from sandladder.autoscaling.instance_records import InstanceRecordWriter
 from sandladder.autoscaling.instance_states import ACTIVE, DRAINING, GONE
 from sandladder.autoscaling.scaling_policy import ScalingPolicy
-from sandladder.config import split_addr
+from sandladder.config import parse_address
 from sandladder.model import Machine
-from sandladder.protocol import wire
+from sandladder.protocol import agent_messages
 from sandladder.scheduling import ClusterView
-from sandladder.transport import Connect, HttpError
+from sandladder.transport import HttpConnector, HttpError
 
 log = logging.getLogger(__name__)
 
@@ -30,7 +30,7 @@
         cloud: CloudClient,
         records: InstanceRecordWriter,
         reconciler: InstanceReconciler,
-        connect: Connect,
+        connect: HttpConnector,
         controller: ControllerStatus,
     ) -> None:
         """
@@ -72,7 +72,7 @@
         """The instances that are not needed, or not fit for work, with their new records."""
         draining = {}
         for machine in self._policy.scale_in_candidates(wall):
-            capacity = self._cluster_view.capacity(machine)
+            capacity = self._cluster_view.free_capacity(machine)
             record = self._records.record(machine)
             if capacity is not None and (record is None or record.state == ACTIVE):
                 log.info("draining instance %s", machine)
@@ -99,9 +99,11 @@
             if address is None:
                 return
             # No connection is kept, so there is nothing to close.
-            client = self._connect(*split_addr(address), keep=0)
+            client = self._connect(*parse_address(address), keep=0)
             try:
-                await client.request("GET", wire.STATUS, timeout=self._probe_timeout_s)
+                await client.request(
+                    "GET", agent_messages.STATUS_PATH, timeout=self._probe_timeout_s
+                )
             except HttpError:
                 found.append(machine)
 
@@ -126,7 +128,7 @@
             machine
             for machine, record in self._cache.instances.items()
             if record.state == DRAINING
-            and (machine not in self._cache.on_machine or machine in unresponsive)
+            and (machine not in self._cache.attempts_by_machine or machine in unresponsive)
         ][:MOST_RETURNED]
         if not ready:
             return
--- a/src/sandladder/autoscaling/instance_launcher.py
+++ b/src/sandladder/autoscaling/instance_launcher.py
@@ -11,7 +11,7 @@
 from sandladder.autoscaling.offers import ScaleOutRequest
 from sandladder.autoscaling.scaling_policy import ScalingPolicy
 from sandladder.model import Machine
-from sandladder.protocol import wire
+from sandladder.protocol import MalformedMessageError
 from sandladder.state import PreconditionFailedError
 
 log = logging.getLogger(__name__)
@@ -56,7 +56,7 @@
         """
         try:
             await self._launch(request)
-        except (CloudError, PreconditionFailedError, wire.MalformedMessageError) as error:
+        except (CloudError, PreconditionFailedError, MalformedMessageError) as error:
             log.info("scaling out with %s: %s", request, error)
 
     async def _launch(self, request: ScaleOutRequest) -> None:
--- a/src/sandladder/autoscaling/instance_reconciler.py
+++ b/src/sandladder/autoscaling/instance_reconciler.py
@@ -123,7 +123,7 @@
             record = self._cache.instances.get(item.id)
             if record is None or record.state != ACTIVE:
                 continue
-            if boot_is_overdue(item, self._cache.types):
+            if boot_is_overdue(item, self._cache.machine_types):
                 log.info("instance %s does not boot: draining it", item.id)
                 changes[item.id] = record._replace(state=DRAINING, since=wall)
         return changes
@@ -134,7 +134,7 @@
             machine
             for machine, record in self._cache.instances.items()
             if record.state == GONE
-            and machine not in self._cache.on_machine
+            and machine not in self._cache.attempts_by_machine
             and wall - record.since > _RECORD_KEPT_LAGS * self._lag_s
         ]
         # There is no hurry: they go along with other changes, or once they are many.
--- a/src/sandladder/autoscaling/instance_records.py
+++ b/src/sandladder/autoscaling/instance_records.py
@@ -7,7 +7,7 @@
 from sandladder.model import Machine
 from sandladder.state import (
     INSTANCE_RECORD_BYTES,
-    P_USER,
+    PRIORITY_REQUEST,
     GroupCommitter,
     PendingChange,
     PreconditionFailedError,
@@ -90,7 +90,7 @@
 
     def _prove_losses(self) -> bool:
         """Whether a change says that an instance is gone on which tasks are recorded."""
-        on_machine = self._cache.on_machine
+        on_machine = self._cache.attempts_by_machine
         return any(
             record is not None and record.state == GONE and machine in on_machine
             for machine, record in self._unwritten.items()
@@ -112,7 +112,7 @@
             return change_instances(transaction, records, self.chunk_size)
 
         # Capacity for others' work and proofs of loss wait for it.
-        change = PendingChange("instance records", P_USER, len(chosen), apply)
+        change = PendingChange("instance records", PRIORITY_REQUEST, len(chosen), apply)
         try:
             await self._committer.add(change).wait()
         except PreconditionFailedError:
--- a/src/sandladder/autoscaling/job_history.py
+++ b/src/sandladder/autoscaling/job_history.py
@@ -61,9 +61,9 @@
             if job_id in self._known:
                 continue
             arrival = Arrival(now, job.spec)
-            history = self._classes.get(job.spec.cls)
+            history = self._classes.get(job.spec.job_class)
             if history is None:
-                self._classes[job.spec.cls] = ClassHistory(arrival)
+                self._classes[job.spec.job_class] = ClassHistory(arrival)
             else:
                 history.add(arrival)
         self._known = set(jobs)
--- a/src/sandladder/autoscaling/machine_types.py
+++ b/src/sandladder/autoscaling/machine_types.py
@@ -3,12 +3,12 @@
 from sandladder import clock
 from sandladder.autoscaling.cloud_client import CloudClient
 from sandladder.state import (
-    P_WORK,
+    PRIORITY_JOB,
     GroupCommitter,
     PendingChange,
     StateCache,
     Transaction,
-    put_types,
+    put_machine_types,
 )
 
 
@@ -44,18 +44,18 @@
 
         Cancelled, the record is old or new.
         """
-        if not self._cache.term:
+        if not self._cache.fencing_token:
             return  # the first controller to get a fencing token sets the schema version
         due = is_autoscaler and clock.now() >= self._next_at
-        if self._cache.types and not due:
+        if self._cache.machine_types and not due:
             return
         types = await self._cloud.machine_types()
         self._next_at = clock.now() + self._interval_s
-        if types == self._cache.types:
+        if types == self._cache.machine_types:
             return
 
         def apply(transaction: Transaction) -> bool:
-            put_types(transaction, types)
+            put_machine_types(transaction, types)
             return True
 
-        await self._committer.add(PendingChange("machine types", P_WORK, 1, apply)).wait()
+        await self._committer.add(PendingChange("machine types", PRIORITY_JOB, 1, apply)).wait()
--- a/src/sandladder/autoscaling/provisioned_capacity.py
+++ b/src/sandladder/autoscaling/provisioned_capacity.py
@@ -53,7 +53,7 @@
 
 def free_bin(cluster_view: ClusterView, capacity: FreeCapacity) -> Bin:
     """What is free on a machine, as a bin."""
-    machine_type = cluster_view.cache.types[capacity.type]
+    machine_type = cluster_view.cache.machine_types[capacity.type]
     free = Bin(machine_type, capacity.zone, capacity.spot)
     free.cpus, free.gpus, free.memory_gb = capacity.cpus, capacity.gpus, capacity.memory_gb
     return free
@@ -79,14 +79,14 @@
     # By whether the instance is a spot one.
     cores = {True: 0.0, False: 0.0}
     gpus = {True: 0.0, False: 0.0}
-    types = cluster_view.cache.types
+    types = cluster_view.cache.machine_types
     for machine in cluster_view.machines():
-        capacity = cluster_view.capacity(machine)
+        capacity = cluster_view.free_capacity(machine)
         if capacity is None or not capacity.usable:
             continue
         machine_type = types[capacity.type]
         # What services take serves no other work.
-        cores[capacity.spot] += machine_type.cpus - cluster_view.services(machine)
+        cores[capacity.spot] += machine_type.cpus - cluster_view.service_cpus(machine)
         gpus[capacity.spot] += machine_type.gpus
         if machine not in without:
             bins.append(free_bin(cluster_view, capacity))
--- a/src/sandladder/autoscaling/scale_in.py
+++ b/src/sandladder/autoscaling/scale_in.py
@@ -8,7 +8,7 @@
 from sandladder.autoscaling.offers import hourly_price, lowest_task_price
 from sandladder.autoscaling.provisioned_capacity import free_bin
 from sandladder.model import SERVICE, MachineType
-from sandladder.scheduling import SICK_ERRORS, Bin, ClusterView, FreeCapacity
+from sandladder.scheduling import UNHEALTHY_FAILURES, Bin, ClusterView, FreeCapacity
 
 # A machine is given up when at most this share of it is used, and what uses it would cost so
 # many times less elsewhere.
@@ -32,11 +32,11 @@
         cluster_view = self._cluster_view
         found = []
         for machine in cluster_view.machines():
-            capacity = cluster_view.capacity(machine)
+            capacity = cluster_view.free_capacity(machine)
             if capacity is None or not capacity.usable or self._busy(machine):
                 self._idle_since.pop(machine, None)
                 continue
-            boot_s = cluster_view.cache.types[capacity.type].boot_s
+            boot_s = cluster_view.cache.machine_types[capacity.type].boot_s
             keep_s = cluster_view.settings.operator.idle_boots * boot_s
             if cluster_view.now - self._idle_since.setdefault(machine, cluster_view.now) >= keep_s:
                 found.append(machine)
@@ -47,7 +47,7 @@
     def _busy(self, machine: str) -> bool:
         """Whether something runs there or is about to be started there."""
         cluster_view = self._cluster_view
-        return not cluster_view.freed(machine) or any(
+        return not cluster_view.is_idle(machine) or any(
             True for _ in cluster_view.gate.on_machine(machine)
         )
 
@@ -66,7 +66,7 @@
     """
     found = []
     for machine in idle:
-        capacity = cluster_view.capacity(machine)
+        capacity = cluster_view.free_capacity(machine)
         if capacity is not None:
             found.append(FreeMachine(machine, free_bin(cluster_view, capacity)))
     found.sort(key=_spot_and_small_first)
@@ -91,7 +91,7 @@
         cores: the cores that can be counted on, with the idle machines.
         demand: how much is usually asked for.
     """
-    types = cluster_view.cache.types
+    types = cluster_view.cache.machine_types
     unreserved = []
     for item in idle:
         type_name, _, _ = item.free.offer
@@ -114,7 +114,7 @@
     found = []
     for machine in cluster_view.machines():
         observation = cluster_view.observation(machine)
-        if observation is not None and observation.seen.errors >= SICK_ERRORS:
+        if observation is not None and observation.status.errors >= UNHEALTHY_FAILURES:
             found.append(machine)
     return found
 
@@ -138,8 +138,8 @@
             return None
         worst: tuple[float, str] | None = None
         wasteful = set()
-        for machine, capacity in cluster_view.usable_capacities().items():
-            machine_type = cluster_view.cache.types[capacity.type]
+        for machine, capacity in cluster_view.usable_free_capacities().items():
+            machine_type = cluster_view.cache.machine_types[capacity.type]
             excess = self._excess_price(machine, capacity, machine_type)
             if excess is None:
                 continue
@@ -160,9 +160,9 @@
         """
         cluster_view = self._cluster_view
         used = machine_type.cpus - capacity.cpus
-        if not cluster_view.services(machine) or used > _WASTEFUL_USE * machine_type.cpus:
+        if not cluster_view.service_cpus(machine) or used > _WASTEFUL_USE * machine_type.cpus:
             return None
-        types = cluster_view.cache.types.values()
+        types = cluster_view.cache.machine_types.values()
         price = hourly_price(machine_type, capacity.spot)
         cost = sum(
             lowest_task_price(job.spec, types)
--- a/src/sandladder/autoscaling/scale_out.py
+++ b/src/sandladder/autoscaling/scale_out.py
@@ -6,7 +6,7 @@
 
 from sandladder.autoscaling.offers import Offer, RefusedOffers, ScaleOutRequest, hourly_price
 from sandladder.model import EPSILON, SERVICE, MachineType
-from sandladder.scheduling import Bin, ClusterView, Shortage, fill
+from sandladder.scheduling import Bin, ClusterView, Shortage, pack
 
 # Into about so many pieces the instances for a long backlog are cut, each asked for where it is
 # cheapest then.  Seen in a measured day: a sixth of the autoscaler's processor time went into
@@ -55,8 +55,8 @@
     for index, shortage in enumerate(shortages):
         spec, zones = shortage.spec, shortage.zones
         keep_gpus = cluster_view.avoids_gpus(spec)
-        missing = shortage.number
-        missing -= fill(spec, missing, new_bins, zones=zones, keep_gpus=keep_gpus)
+        missing = shortage.tasks
+        missing -= pack(spec, missing, new_bins, zones=zones, keep_gpus=keep_gpus)
         while missing > 0:
             best = cheapest_offer(
                 cluster_view, refused, missing, shortages[index:], existing + wanted
@@ -66,12 +66,12 @@
             new = Bin(best.type, best.zone, best.spot)
             if zones is None:
                 # Most of a long backlog goes in pieces, the rest machine by machine.
-                each = max(1, new.tasks(spec, missing))
+                each = max(1, new.tasks_that_fit(spec, missing))
                 full_instances = missing // each // _PIECES
                 wanted[best.offer] += full_instances
                 missing -= full_instances * each
             wanted[best.offer] += 1
-            missing -= fill(spec, missing, [new], zones=zones)
+            missing -= pack(spec, missing, [new], zones=zones)
             if new.cpus + EPSILON >= least_cpus:
                 new_bins.append(new)
     return [
@@ -99,7 +99,7 @@
     first = shortages[0]
     avoids_gpus = cluster_view.avoids_gpus(first.spec)
     best: PricedOffer | None = None
-    for machine_type in cluster_view.cache.types.values():
+    for machine_type in cluster_view.cache.machine_types.values():
         if not machine_type.fits(first.spec) or (avoids_gpus and machine_type.gpus > 0):
             continue
         used = used_cores(machine_type, count, shortages)
@@ -116,7 +116,7 @@
 def _offers(machine_type: MachineType, shortage: Shortage) -> Iterator[tuple[Offer, float]]:
     """The offers of a type that may meet a shortage, each with its price an hour."""
     spec, zones = shortage.spec, shortage.zones
-    markets = [True] * spec.spot + [False] * (shortage.any_kind or not spec.spot)
+    markets = [True] * spec.spot + [False] * (shortage.ordinary_allowed or not spec.spot)
     for spot in markets:
         price = hourly_price(machine_type, spot)
         if price <= 0:
@@ -141,7 +141,7 @@
         spec = shortage.spec
         if (spec.kind == SERVICE) != for_services:
             continue
-        most = count if position == 0 else shortage.number
+        most = count if position == 0 else shortage.tasks
         number = min(most, int((cpus + EPSILON) / spec.cpus))
         if spec.memory_gb > 0:
             number = min(number, int((memory_gb + EPSILON) / spec.memory_gb))
--- a/src/sandladder/autoscaling/scaling_inputs.py
+++ b/src/sandladder/autoscaling/scaling_inputs.py
@@ -24,7 +24,9 @@
         """The objectives of the platform's settings."""
         lease_s = settings.platform.deployment.workers.lease_s
         return StartObjectives(
-            settings.waits, settings.finishes, _DEFAULT_ALLOWANCE_LEASES * lease_s
+            settings.start_objectives_s,
+            settings.completion_objectives_s,
+            _DEFAULT_ALLOWANCE_LEASES * lease_s,
         )
 
 
--- a/src/sandladder/autoscaling/scaling_policy.py
+++ b/src/sandladder/autoscaling/scaling_policy.py
@@ -68,7 +68,7 @@
         """Remember what recent jobs of each class looked like, and how often they came."""
         self._jobs.observe(self._cluster_view.cache.jobs, self._cluster_view.now)
 
-    def rental_requests(
+    def scale_out_requests(
         self, wall: float, unwritten: Mapping[str, Machine | None] | None = None
     ) -> list[ScaleOutRequest]:
         """What to ask the cloud for now, the most urgent first.
@@ -80,7 +80,7 @@
                 again until they were written down.
         """
         cluster_view = self._cluster_view
-        if not cluster_view.cache.types:
+        if not cluster_view.cache.machine_types:
             return []
         new = {machine: record for machine, record in (unwritten or {}).items() if record}
         provisioned = self._provisioned(wall, cluster_view.cache.instances | new)
@@ -144,5 +144,5 @@
 
 def _log_shortages(shortages: list[Shortage]) -> None:
     for shortage in shortages:
-        markets = " and are worth on-demand instances" if shortage.any_kind else ""
-        log.debug("%d tasks of %s lack capacity%s", shortage.number, shortage.spec.id, markets)
+        markets = " and are worth on-demand instances" if shortage.ordinary_allowed else ""
+        log.debug("%d tasks of %s lack capacity%s", shortage.tasks, shortage.spec.id, markets)
--- a/src/sandladder/autoscaling/unresponsive.py
+++ b/src/sandladder/autoscaling/unresponsive.py
@@ -44,7 +44,7 @@
         observation = cluster_view.observation(machine)
         if observation is not None and cluster_view.age_s(observation) <= limit_s:
             responsive.add(machine)
-            responsive_in_zone[observation.seen.zone] += 1
+            responsive_in_zone[observation.status.zone] += 1
     suspects: dict[str, list[str]] = {}  # by zone
     for machine in booted:
         record = cluster_view.cache.instances.get(machine)
--- a/src/sandladder/autoscaling/utilization.py
+++ b/src/sandladder/autoscaling/utilization.py
@@ -9,10 +9,10 @@
 
 def describe_utilization(cluster_view: ClusterView, booted: BootedMachines) -> str:
     """How many cores there are, by market, and what uses them."""
-    types = cluster_view.cache.types
+    types = cluster_view.cache.machine_types
     cores: Counter[str] = Counter()
     for machine in cluster_view.machines():
-        capacity = cluster_view.capacity(machine)
+        capacity = cluster_view.free_capacity(machine)
         if capacity is None:
             continue
         machine_type = types[capacity.type]
@@ -22,7 +22,7 @@
         if capacity.cpus >= machine_type.cpus:
             cores[f"{market} idle"] += round(machine_type.cpus)
         for job, _, _ in cluster_view.cache.attempts_on(machine):
-            cores[f"{market} for {job.spec.cls}"] += round(job.spec.cpus)
+            cores[f"{market} for {job.spec.job_class}"] += round(job.spec.cpus)
     for machine, record in cluster_view.cache.instances.items():
         if record.state == ACTIVE and machine not in booted:
             cores[f"{_market(record.spot)} booting"] += round(types[record.type].cpus)
--- a/src/sandladder/autoscaling/waiting_work.py
+++ b/src/sandladder/autoscaling/waiting_work.py
@@ -9,7 +9,7 @@
 from sandladder.autoscaling.zone_choice import single_zone
 from sandladder.model import HIGH, PRODUCTION, SERVICE, Job, TeamUsage
 from sandladder.model import headroom as quota_headroom
-from sandladder.scheduling import Backlog, Shortage, ZoneShares, fill, likeness
+from sandladder.scheduling import Backlog, Shortage, ZoneQuota, pack, placement_requirements
 
 # The share of the time that work may wait, past which spot instances are asked for.
 _PRESSING_SHARE = 0.1
@@ -30,7 +30,7 @@
     job: Job
     tasks: int
     can_wait_for_boot: bool
-    zones: ZoneShares | None  # how many each zone may take, if not any zone will do
+    zones: ZoneQuota | None  # how many each zone may take, if not any zone will do
 
 
 def waiting_work(inputs: ScalingInputs) -> WaitingWork:
@@ -42,7 +42,7 @@
         (job for job in cache.jobs.values() if job.waiting and ready(job)),
         key=cluster_view.order_key,
     )
-    usage_by_team = dict(cache.used)
+    usage_by_team = dict(cache.usage)
     demand, backlog = CoreDemand(), Backlog()
     shortages: list[Shortage] = []
     # Likenesses of tasks that found no capacity: it only gets less.  Seen in a measured day: with
@@ -64,10 +64,10 @@
     """The waiting tasks that the team's limit lets start; adds them to the team's usage."""
     cluster_view, spec = inputs.cluster_view, job.spec
     usage = usage_by_team.get(spec.team, TeamUsage())
-    left = quota_headroom(cluster_view.limits.get(spec.team), usage)
-    count = left.tasks(spec, job.waiting)
+    left = quota_headroom(cluster_view.team_limits.get(spec.team), usage)
+    count = left.tasks_within(spec, job.waiting)
     usage_by_team[spec.team] = usage.plus(spec, count)
-    zones = ZoneShares.of(job)
+    zones = ZoneQuota.of(job)
     if spec.one_zone and zones is None and count:
         zones = single_zone(inputs, spec, count)
     return _WaitingJob(job, count, cluster_view.can_wait_for_boot(job), zones)
@@ -79,11 +79,11 @@
     `exhausted`: the likenesses for which nothing is free; what finds nothing here is added.
     """
     spec, count, zones = waiting.job.spec, waiting.tasks, waiting.zones
-    like = likeness(spec, waiting.can_wait_for_boot)
+    like = placement_requirements(spec, waiting.can_wait_for_boot)
     if like in exhausted:
         return count
     keep_gpus = inputs.cluster_view.avoids_gpus(spec)
-    missing = count - fill(spec, count, inputs.bins, waiting.can_wait_for_boot, zones, keep_gpus)
+    missing = count - pack(spec, count, inputs.bins, waiting.can_wait_for_boot, zones, keep_gpus)
     if missing and zones is None:
         exhausted.add(like)
     return missing
@@ -100,10 +100,10 @@
     """
     cluster_view, job, zones = inputs.cluster_view, waiting.job, waiting.zones
     spec = job.spec
-    priority = cluster_view.outlook(job).priority
+    priority = cluster_view.scheduling_priority(job).priority
     if spec.kind == SERVICE or priority >= PRODUCTION:
         return [Shortage(spec, True, missing, zones)]
-    age_s = inputs.wall - cluster_view.since(job)
+    age_s = inputs.wall - cluster_view.waiting_since(job)
     boot_s, allowance_s = cluster_view.boot_s(spec), _allowance_s(inputs, job, age_s)
     # Work that needs GPUs waits for those alone, whatever cores there are.
     if spec.gpus > 0:
@@ -138,9 +138,9 @@
     cluster_view = inputs.cluster_view
     earliest_s = age_s + cluster_view.boot_s(spec)
     run_s = _ESTIMATE_MARGIN * spec.estimate_s
-    limits = [objectives.waits.get(spec.cls, math.inf)]
-    limits += [max(0.0, within - run_s) for within in objectives.finishes.get(spec.cls, ())]
-    due_s = cluster_view.outlook(job).due - cluster_view.since(job)
+    limits = [objectives.waits.get(spec.job_class, math.inf)]
+    limits += [max(0.0, within - run_s) for within in objectives.finishes.get(spec.job_class, ())]
+    due_s = cluster_view.scheduling_priority(job).due - cluster_view.waiting_since(job)
     if due_s < math.inf:
         limits.append(max(0.0, due_s - run_s))
     limits = sorted(limit for limit in limits if limit < math.inf)
@@ -158,6 +158,6 @@
             continue
         for job, _, _ in cluster_view.cache.attempts_on(machine):
             keep_gpus = cluster_view.avoids_gpus(job.spec)
-            if job.spec.kind == SERVICE and not fill(job.spec, 1, inputs.bins, keep_gpus=keep_gpus):
+            if job.spec.kind == SERVICE and not pack(job.spec, 1, inputs.bins, keep_gpus=keep_gpus):
                 shortages.append(Shortage(job.spec, True, 1))
     return shortages
--- a/src/sandladder/cli.py
+++ b/src/sandladder/cli.py
@@ -65,17 +65,22 @@
 
 
 async def _retire(settings: Settings, node: str) -> str | None:
-    from sandladder.config import split_addr
-    from sandladder.state import StoreClient, StoreRequestError, UnknownOutcomeError, retire
-    from sandladder.transport import Client
+    from sandladder.config import parse_address
+    from sandladder.state import (
+        StoreClient,
+        StoreRequestError,
+        UnknownOutcomeError,
+        retire_controller,
+    )
+    from sandladder.transport import HttpClient
 
     if node not in settings.node_names:
         return f"{node} is not named in the settings"
     deployment = settings.platform.deployment
-    client = Client(*split_addr(settings.platform.external.state))
+    client = HttpClient(*parse_address(settings.platform.external.state))
     state = StoreClient(client, deployment.state, deployment.workers.lease_s)
     try:
-        return await retire(state, node)
+        return await retire_controller(state, node)
     except (StoreRequestError, UnknownOutcomeError) as error:
         return f"the state service: {error}"
     finally:
--- a/src/sandladder/config/__init__.py
+++ b/src/sandladder/config/__init__.py
@@ -8,39 +8,39 @@
 It never reads the clock, the environment, or anything but these two files.
 """
 
-from sandladder.config.address import Address, split_addr
-from sandladder.config.checks import LEAST_TXN_OPS
+from sandladder.config.address import Address, parse_address
+from sandladder.config.checks import MIN_TXN_OPS
 from sandladder.config.errors import SettingsError
 from sandladder.config.operator_file import Operator, parse_operator
 from sandladder.config.platform_file import (
-    Cloud,
+    AgentSettings,
+    CloudSettings,
     Deployment,
-    External,
     Objective,
-    Peer,
+    PeerAddress,
     Platform,
-    State,
+    ServiceAddresses,
+    StoreSettings,
     TeamLimits,
-    WorkerSettings,
 )
 from sandladder.config.settings import Settings, load
 
 __all__ = [
     "Address",
-    "Cloud",
+    "CloudSettings",
     "Deployment",
-    "External",
-    "LEAST_TXN_OPS",
+    "ServiceAddresses",
+    "MIN_TXN_OPS",
     "Objective",
     "Operator",
-    "Peer",
+    "PeerAddress",
     "Platform",
     "Settings",
     "SettingsError",
-    "State",
+    "StoreSettings",
     "TeamLimits",
-    "WorkerSettings",
+    "AgentSettings",
     "load",
     "parse_operator",
-    "split_addr",
+    "parse_address",
 ]
--- a/src/sandladder/config/address.py
+++ b/src/sandladder/config/address.py
@@ -12,7 +12,7 @@
     port: int
 
 
-def split_addr(addr: str) -> Address:
+def parse_address(addr: str) -> Address:
     """Read `host:port`.
 
     Raises:
--- a/src/sandladder/config/checks.py
+++ b/src/sandladder/config/checks.py
@@ -3,20 +3,20 @@
 from collections.abc import Iterator
 from math import isfinite
 
-from sandladder.config.address import split_addr
+from sandladder.config.address import parse_address
 from sandladder.config.errors import SettingsError
 from sandladder.config.platform_file import (
+    AgentSettings,
     Deployment,
     FutureStoreLimits,
     Platform,
-    State,
+    StoreSettings,
     TeamLimits,
-    WorkerSettings,
 )
 
 # What the smallest state service that can be served takes: the end of a job whose record takes
 # three values (those are deleted, its outcome is put), and a value that holds a job's start.
-LEAST_TXN_OPS, LEAST_VALUE_KB = 4, 2.0
+MIN_TXN_OPS, LEAST_VALUE_KB = 4, 2.0
 
 _STORE_RATES = ("rps", "write_rps", "value_kb")
 
@@ -56,7 +56,7 @@
 def _check_addresses(platform: Platform) -> None:
     for field, addr in _addresses(platform):
         try:
-            split_addr(addr)
+            parse_address(addr)
         except ValueError as error:
             raise SettingsError(field, str(error)) from None
 
@@ -77,9 +77,9 @@
                 raise SettingsError(f"deployment.{section}.{name}", f"must be above 0, not {value}")
 
 
-def _check_cancellation_time(workers: WorkerSettings) -> None:
+def _check_cancellation_time(workers: AgentSettings) -> None:
     """Heartbeats can be answered at all: else an agent might run for too long what is cancelled."""
-    if workers.knowledge_s < workers.report_s / 2:
+    if workers.cancellation_knowledge_age_s < workers.report_s / 2:
         raise SettingsError(
             "deployment.workers.cancel_s",
             "leaves no time beyond deployment.workers.lease_s to learn of a cancellation: "
@@ -87,10 +87,10 @@
         )
 
 
-def _check_store_limits(section: str, limits: State | FutureStoreLimits) -> None:
+def _check_store_limits(section: str, limits: StoreSettings | FutureStoreLimits) -> None:
     """A transaction and a value have the least size that the records need."""
-    if limits.txn_ops is not None and limits.txn_ops < LEAST_TXN_OPS:
-        raise SettingsError(f"{section}.txn_ops", f"must be at least {LEAST_TXN_OPS}")
+    if limits.txn_ops is not None and limits.txn_ops < MIN_TXN_OPS:
+        raise SettingsError(f"{section}.txn_ops", f"must be at least {MIN_TXN_OPS}")
     if limits.value_kb is not None and limits.value_kb < LEAST_VALUE_KB:
         raise SettingsError(
             f"{section}.value_kb", f"must be at least {LEAST_VALUE_KB:g} to hold a job's start"
--- a/src/sandladder/config/platform_file.py
+++ b/src/sandladder/config/platform_file.py
@@ -15,7 +15,7 @@
 _DRIFT_SHARE = 0.002
 
 
-class Peer(msgspec.Struct, frozen=True):
+class PeerAddress(msgspec.Struct, frozen=True):
     """Another controller, and where messages between controllers reach it."""
 
     node_name: str
@@ -23,7 +23,7 @@
     location: str = ""
 
 
-class External(msgspec.Struct, frozen=True):
+class ServiceAddresses(msgspec.Struct, frozen=True):
     """Addresses of the services that the platform runs."""
 
     cloud: str
@@ -50,7 +50,7 @@
     times: float = 1.0
 
 
-class WorkerSettings(msgspec.Struct, frozen=True):
+class AgentSettings(msgspec.Struct, frozen=True):
     """How agents behave in time; all in seconds."""
 
     report_s: float
@@ -60,7 +60,7 @@
     gang_peer_s: float = 5.0
 
     @property
-    def knowledge_s(self) -> float:
+    def cancellation_knowledge_age_s(self) -> float:
         """How old a controller's knowledge of cancellations may be when it answers a heartbeat.
 
         A task that was cancelled unknown to it is gone in time if the agent's lease, renewed by
@@ -79,7 +79,7 @@
     txn_ops: int | None = None
 
 
-class State(msgspec.Struct, frozen=True):
+class StoreSettings(msgspec.Struct, frozen=True):
     """Limits of the state service: requests and changes a second, KiB a value, changes at once."""
 
     rps: float
@@ -93,7 +93,7 @@
         """The largest value, in bytes."""
         return self.value_kb * 1024
 
-    def least(self) -> "State":
+    def strictest(self) -> "StoreSettings":
         """The smaller of today's limits and those that may begin without notice."""
         if self.next is None:
             return self
@@ -106,7 +106,7 @@
         return msgspec.structs.replace(self, **smaller, next=None)
 
 
-class Cloud(msgspec.Struct, frozen=True):
+class CloudSettings(msgspec.Struct, frozen=True):
     """Limits of the cloud: requests a second, and by how much its list lags, in seconds."""
 
     rps: float
@@ -125,9 +125,9 @@
     """The figures that all controllers share."""
 
     zones: list[str]
-    workers: WorkerSettings
-    state: State
-    cloud: Cloud
+    workers: AgentSettings
+    state: StoreSettings
+    cloud: CloudSettings
     teams: list[TeamLimits] = []
     objectives: list[Objective] = []
     skew_ms: float = 1000.0
@@ -141,9 +141,9 @@
     location: str
     api_addr: str
     mesh_addr: str
-    external: External
+    external: ServiceAddresses
     deployment: Deployment
-    peers: list[Peer] = []
+    peers: list[PeerAddress] = []
 
 
 def read_platform_file(path: Path) -> Platform:
--- a/src/sandladder/config/settings.py
+++ b/src/sandladder/config/settings.py
@@ -43,18 +43,18 @@
         return sorted([self.node, *(peer.node_name for peer in self.platform.peers)])
 
     @property
-    def unknown_aims(self) -> list[str]:
+    def unknown_objectives(self) -> list[str]:
         """The kinds of objectives that this program does not know, sorted."""
         kinds = {objective.kind for objective in self.platform.deployment.objectives}
         return sorted(kinds - OBJECTIVE_KINDS)
 
     @property
-    def waits(self) -> dict[str, float]:
+    def start_objectives_s(self) -> dict[str, float]:
         """By class, the shortest time within which its tasks should start, in seconds."""
         return {cls: min(times) for cls, times in self._times_of("wait").items()}
 
     @property
-    def finishes(self) -> dict[str, list[float]]:
+    def completion_objectives_s(self) -> dict[str, list[float]]:
         """By class, the times within which its jobs should be done, in seconds."""
         return self._times_of("finished")
 
--- a/src/sandladder/controller/change_handler.py
+++ b/src/sandladder/controller/change_handler.py
@@ -10,7 +10,16 @@
 from sandladder.membership import ControllerLease, MembershipService
 from sandladder.model import HIGH
 from sandladder.scheduling import ClusterView, Gate, Outcome, Resource
-from sandladder.state import FINAL, INSTANCE, JOB, NODE, ROSTER, TEAM, TYPES, StateCache
+from sandladder.state import (
+    FINISHED_JOB_PREFIX,
+    INSTANCE_PREFIX,
+    INVENTORY_PREFIX,
+    JOB_PREFIX,
+    MACHINE_TYPES_KEY,
+    ROSTER_KEY,
+    TEAM_PREFIX,
+    StateCache,
+)
 
 log = logging.getLogger(__name__)
 
@@ -47,9 +56,9 @@
 
     def read_completed(self, sent: float) -> None:
         """A reading of the store that was sent at this steady time, in seconds, is in the cache."""
-        self._lease_expiry.synced(sent, self._cache.revision)
-        self._cache.synced(sent)
-        self._renewal_guard.read(sent)
+        self._lease_expiry.record_store_read(sent, self._cache.revision)
+        self._cache.expire_peer_cancellations(sent)
+        self._renewal_guard.record_store_read(sent)
 
     def records_changed(self, keys: dict[str, None]) -> None:
         """Take in what changed, check again the premises that it reaches, and send commands."""
@@ -71,24 +80,26 @@
     def _take_in_members(self, keys: dict[str, None]) -> None:
         """Controllers' inventories and the roster."""
         now = self._cluster_view.now
-        if any(key.startswith(NODE) for key in keys):
-            self._lease_expiry.observe(self._cache.nodes, now, self._cache.unreadable_nodes)
+        if any(key.startswith(INVENTORY_PREFIX) for key in keys):
+            self._lease_expiry.observe_inventories(
+                self._cache.inventories, now, self._cache.unreadable_nodes
+            )
             self._controller_lease.observe()
             self._membership.observe(now)
-            self._cluster_view.observe()
-        if ROSTER in keys:
+            self._cluster_view.record_inventories()
+        if ROSTER_KEY in keys:
             self._membership.observe(now)
 
     def _take_in_machine_types(self, keys: dict[str, None]) -> None:
-        if TYPES in keys:
-            self._cluster_view.recount()
-        elif any(key.startswith(INSTANCE) for key in keys):
-            self._cluster_view.relist()
+        if MACHINE_TYPES_KEY in keys:
+            self._cluster_view.types_changed()
+        elif any(key.startswith(INSTANCE_PREFIX) for key in keys):
+            self._cluster_view.instances_changed()
 
     def _touch_machines(self, machines: Iterable[str]) -> list[Resource]:
         resources: list[Resource] = []
         for machine in machines:
-            self._cluster_view.touch(machine)
+            self._cluster_view.machine_changed(machine)
             resources.append(("machine", machine))
         return resources
 
@@ -104,32 +115,32 @@
     def _changed_jobs_and_teams(self, keys: Iterable[str]) -> list[Resource]:
         resources: list[Resource] = []
         for key in keys:
-            if key.startswith((JOB, FINAL)):
-                job_id = key[len(JOB) :]
+            if key.startswith((JOB_PREFIX, FINISHED_JOB_PREFIX)):
+                job_id = key[len(JOB_PREFIX) :]
                 resources.append(("job", job_id))
                 self._trigger_if_urgent(job_id)
-            elif key.startswith(TEAM):
-                resources.append(("team", key[len(TEAM) :]))
+            elif key.startswith(TEAM_PREFIX):
+                resources.append(("team", key[len(TEAM_PREFIX) :]))
         return resources
 
     def _trigger_if_urgent(self, job_id: str) -> None:
         job = self._cache.jobs.get(job_id)
-        if job and job.waiting and self._cluster_view.outlook(job).priority >= HIGH:
+        if job and job.waiting and self._cluster_view.scheduling_priority(job).priority >= HIGH:
             self._triggers.urgent.set()
 
     def _revalidate(self, resources: list[Resource]) -> None:
-        for verdict in self._gate.changed(resources, self._cluster_view):
+        for verdict in self._gate.revalidate(resources, self._cluster_view):
             if verdict.outcome >= Outcome.REPLAN:
                 log.debug(
                     "%s %s on %s: %s",
                     verdict.outcome.name,
                     verdict.pending_start.key,
                     verdict.pending_start.placement.machine,
-                    verdict.reason,
+                    verdict.failed_premise,
                 )
 
     def _send_commands(self, machines: Iterable[str]) -> None:
         for machine in machines:
-            agent = self._reconciler.machines.get(machine)
+            agent = self._reconciler.agents.get(machine)
             if agent is not None:
-                self._agent_service.push(agent)
+                self._agent_service.send_commands(agent)
--- a/src/sandladder/controller/controller.py
+++ b/src/sandladder/controller/controller.py
@@ -33,7 +33,7 @@
 )
 from sandladder.autoscaling import Autoscaler, CloudClient, ControllerStatus
 from sandladder.concurrency import BackgroundTasks
-from sandladder.config import Settings, split_addr
+from sandladder.config import Settings, parse_address
 from sandladder.controller.change_handler import ChangeHandler
 from sandladder.controller.planning_loop import PlanningLoop, PlanningTriggers
 from sandladder.controller.statistics import StatisticsLog
@@ -54,7 +54,7 @@
     TeamDirectory,
     WriteRateShare,
 )
-from sandladder.protocol import wire
+from sandladder.protocol import codec
 from sandladder.scheduling import ClusterView, Gate, Planner, PreemptionPolicy
 from sandladder.state import (
     GroupCommitter,
@@ -65,12 +65,12 @@
     StoreWatch,
 )
 from sandladder.transport import (
-    Client,
-    Connect,
+    HttpClient,
+    HttpConnector,
+    HttpServer,
     MachineUpdate,
     Request,
     Response,
-    Server,
     peer_transport,
 )
 
@@ -106,7 +106,7 @@
         self,
         settings: Settings,
         rng: Random,
-        connect: Connect = Client,
+        connect: HttpConnector = HttpClient,
         wall: Callable[[], float] = time.time,
     ) -> None:
         """Make the services; nothing is sent before `run`.
@@ -117,7 +117,7 @@
             connect: makes HTTP clients; tests put their own network here.
             wall: the time of day, in seconds.
         """
-        for kind in settings.unknown_aims:
+        for kind in settings.unknown_objectives:
             log.info("objectives of the kind %s are not known and ignored", kind)
         self.settings = settings
         self.node = settings.node
@@ -148,7 +148,7 @@
 
     def _make_state(self) -> None:
         deployment = self.settings.platform.deployment
-        host, port = split_addr(self.settings.platform.external.state)
+        host, port = parse_address(self.settings.platform.external.state)
         self.store = StoreClient(
             self.connect(host, port, keep=_STORE_CONNECTIONS),
             deployment.state,
@@ -219,7 +219,7 @@
                 inventory.inventory,
             ),
             fencing_token=self._fencing_token,
-            on_fencing_token=self.reconciler.new_term,
+            on_fencing_token=self.reconciler.adopt_fencing_token,
             on_acquired=self._lease_acquired,
         )
         detector = FailureDetector(
@@ -240,7 +240,7 @@
             store_reachable=self.store_reachable,
             wall=self.wall,
             on_teams_moved=self._assignments_changed,
-            on_unready_changed=self.cluster_view.doubt_controllers,
+            on_unready_changed=self.cluster_view.avoid_controllers,
         )
 
     def _make_peers(self) -> None:
@@ -248,7 +248,7 @@
             fencing_token=self._fencing_token,
             store_reachable=self.store_reachable,
             agents=self._reporting_agents,
-            acknowledged=lambda: self.renewal_guard.echoes,
+            acknowledged=lambda: self.renewal_guard.acknowledged_readings,
         )
         heartbeats = HeartbeatExchange(
             node=self.node,
@@ -260,7 +260,7 @@
             membership=self.membership,
             write_rate=WriteRateShare(self.cache, self.committer, self.limits, self.store),
             status=status,
-            on_clock_exchange=self.renewal_guard.heard,
+            on_clock_exchange=self.renewal_guard.record_peer_heartbeat,
             on_cancelled_jobs=self._jobs_cancelled,
         )
         self.peers = PeerService(
@@ -307,7 +307,7 @@
                 advance_time=self._advance_time,
                 record_ended_attempts=self._ends_proved,
                 commit_due_ends=self._commit_due_ends,
-                avoided_machines=self.planner.avoid,
+                avoided_machines=self.planner.failed_machines,
                 request_planning=self.triggers.due.set,
             ),
         )
@@ -356,7 +356,7 @@
         )
 
     def _make_autoscaling(self) -> None:
-        host, port = split_addr(self.settings.platform.external.cloud)
+        host, port = parse_address(self.settings.platform.external.cloud)
         self.cloud = CloudClient(
             self.connect(host, port, keep=_CLOUD_CONNECTIONS),
             self.lease_s * _CLOUD_TIMEOUT_LEASES,
@@ -372,8 +372,8 @@
             ControllerStatus(
                 records_loaded=lambda: self.watch.loaded,
                 lease_alive=self.controller_lease.alive,
-                isolated=self.agent_service.deaf,
-                uptime_s=self.lease_expiry.up_s,
+                isolated=self.agent_service.is_isolated,
+                uptime_s=self.lease_expiry.uptime_s,
                 fencing_token=self._fencing_token,
                 wall=self.wall,
             ),
@@ -387,7 +387,7 @@
             DependencyCheck(lookup, self.watch, self.dependency_resolver, read_timeout_s),
             self.cache,
             self.limits,
-            self.cluster_view.limits,
+            self.cluster_view.team_limits,
             self.wall,
         )
         submissions = SubmissionService(
@@ -413,7 +413,7 @@
             JobRouter(lookup, submissions, cancellations),
             RequestForwarder(self.peers, self.store, self.store_reachable, self.report_s),
             HealthCheck(self.cache, self.watch, self.peers, self.store_reachable),
-            self.agent_service.report,
+            self.agent_service.handle_heartbeat,
         )
 
     def _make_controller_services(self) -> None:
@@ -463,12 +463,12 @@
                 self.watch.run,
                 self.committer.run,
                 self.controller_lease.run,
-                self.controller_lease.summarise,
+                self.controller_lease.publish_inventory,
                 self.schema_migration.run,
                 self.membership.run,
                 self.dependency_resolver.run,
                 self.planning_loop.run,
-                self.agent_service.sweep,
+                self.agent_service.expire_silent_agents,
                 self.statistics.run,
                 self.autoscaler.run,
             ):
@@ -486,10 +486,10 @@
     def _listen(self, tasks: TaskGroup) -> None:
         """Start serving users, agents and peers."""
         platform = self.settings.platform
-        host, port = split_addr(platform.api_addr)
-        server = Server(
+        host, port = parse_address(platform.api_addr)
+        server = HttpServer(
             self.job_api.handle,
-            body_limit=wire.BODY_LIMIT,
+            body_limit=codec.BODY_LIMIT,
             idle_s=_IDLE_CONNECTION_LEASES * self.lease_s,
             read_s=self.report_s,
             most=int(platform.deployment.quota.max_sockets * _INCOMING_SOCKETS),
@@ -500,7 +500,7 @@
             platform.mesh_addr,
             _CONNECTIONS_PER_PEER * len(self.nodes),
             _SILENT_HEARTBEATS * self.heartbeat_interval_s,
-            self.peers.handle,
+            self.peers.receive,
         )
         for connection in self.peers.connections.values():
             tasks.start_soon(connection.run, self.peers.heartbeat)
@@ -521,10 +521,10 @@
 
     def store_reachable(self) -> bool:
         """Whether the store has answered this controller of late."""
-        return clock.now() - self.store.ok_at < self.report_s / 2
+        return clock.now() - self.store.last_answer_at < self.report_s / 2
 
     def _fencing_token(self) -> int:
-        return self.reconciler.term
+        return self.reconciler.fencing_token
 
     def _advance_time(self) -> float:
         """Have the cluster view answer as of now; that moment, in seconds on the steady clock."""
@@ -547,7 +547,7 @@
 
     def _reporting_agents(self, now: float) -> int | None:
         """How many agents report here; None: none reaches this controller, so it takes none."""
-        return None if self.agent_service.deaf(now) else self.agent_service.count
+        return None if self.agent_service.is_isolated(now) else self.agent_service.agent_count
 
     def _jobs_cancelled(self, job_ids: list[str]) -> None:
         self.agent_service.stop_cancelled(job_ids)
@@ -555,14 +555,14 @@
     def _machine_updated(self, update: MachineUpdate) -> None:
         """A peer observed that a machine came or changed."""
         self._advance_time()
-        self.cluster_view.tell(update.node, update.machine, update.seen)
+        self.cluster_view.record_peer_status(update.node, update.machine, update.status)
         self.triggers.due.set()
 
     def _ends_proved(self, ends: Iterable[EndedAttempt]) -> None:
-        self.job_committer.collect(ends)
+        self.job_committer.collect_ends(ends)
 
     def _peer_proved_end(self, ended: EndedAttempt) -> None:
-        self.job_committer.told(ended)
+        self.job_committer.handle_peer_end(ended)
 
     def _commit_due_ends(self) -> None:
         self.job_committer.sweep()
--- a/src/sandladder/controller/planning_loop.py
+++ b/src/sandladder/controller/planning_loop.py
@@ -13,7 +13,7 @@
 from sandladder.peers import PeerService
 from sandladder.scheduling import ClusterView, Planner, PreemptionPolicy, PreemptionVictim
 from sandladder.state import (
-    P_WORK,
+    PRIORITY_JOB,
     GroupCommitter,
     PendingChange,
     PreconditionFailedError,
@@ -85,7 +85,7 @@
     async def run(self) -> None:
         """Plan whenever something asks for it, until cancelled."""
         while True:
-            await self._triggers.due.wait(min(self._report_s, self._planner.again_s))
+            await self._triggers.due.wait(min(self._report_s, self._planner.next_change_s))
             if not self._may_plan():
                 await anyio.sleep(self._report_s * _IDLE_PAUSE)
                 continue
@@ -100,25 +100,31 @@
                 await self._triggers.urgent.wait(self._report_s * _PAUSE_WITHOUT_URGENT_WORK)
 
     def _may_plan(self) -> bool:
-        return self._controller_lease.alive() and self._watch.loaded and bool(self._cache.types)
+        return (
+            self._controller_lease.alive()
+            and self._watch.loaded
+            and bool(self._cache.machine_types)
+        )
 
     def _plan_once(self, now: float) -> None:
         """One round, as of a moment on the steady clock: starts, then preemptions and moves."""
         self._cluster_view.now = now
-        self._cluster_view.ahead = self._wall() - now
+        self._cluster_view.wall_offset_s = self._wall() - now
         jobs = self._assigned_jobs()
         backing_off = self._job_committer.backing_off
         # What cannot be written yet would only grow stale: another controller takes the capacity.
         written_soon = self._committer.free_in_s <= self._report_s * _WRITTEN_SOON
         least_priority = LOW if written_soon else HIGH
-        self._job_committer.start(self._planner.plan(jobs, backing_off, least_priority))
-        victims = self._preemption.preempt(jobs, backing_off) + self._preemption.moves(jobs)
+        self._job_committer.commit_starts(self._planner.plan(jobs, backing_off, least_priority))
+        victims = self._preemption.preempt(jobs, backing_off) + self._preemption.graceful_evictions(
+            jobs
+        )
         for victim in victims:
             self._commit_stop(victim)
 
     def _assigned_jobs(self) -> list[Job]:
         """The live jobs of the teams that are assigned to this controller."""
-        assigned = {team for team in self._teams if self._peers.places(team)}
+        assigned = {team for team in self._teams if self._peers.is_assigned(team)}
         return [job for job in self._cache.jobs.values() if job.spec.team in assigned]
 
     def _commit_stop(self, victim: PreemptionVictim) -> None:
@@ -128,7 +134,7 @@
         def apply(transaction: Transaction) -> bool:
             return stop(transaction, victim.job, [victim.task], victim.grace_s)
 
-        change = self._committer.add(PendingChange(f"stop in {victim.job}", P_WORK, 1, apply))
+        change = self._committer.add(PendingChange(f"stop in {victim.job}", PRIORITY_JOB, 1, apply))
         self._background.start_soon(self._after_stop, change, victim)
 
     async def _after_stop(self, change: PendingChange, victim: PreemptionVictim) -> None:
@@ -138,7 +144,7 @@
         except PreconditionFailedError as refusal:
             log.debug("%s: %s", change.name, refusal)
         finally:
-            self._preemption.settled(victim)
+            self._preemption.stop_settled(victim)
         observation = self._cluster_view.observation(victim.machine)
         if observation is not None:
             self._peers.notify({observation.reporting_controller})
--- a/src/sandladder/controller/statistics.py
+++ b/src/sandladder/controller/statistics.py
@@ -31,11 +31,11 @@
             "gate: %d premises checked (a full scan: %d), verdicts %s; "
             "%d transactions committed (%s), %d rejected (%s), %d changes waiting",
             gate.checked,
-            gate.full_scan,
+            gate.full_scan_checks,
             dict(gate.verdicts),
             committer.committed,
-            dict(committer.wrote),
+            dict(committer.committed_keys),
             committer.rejected,
-            dict(committer.refused_over),
+            dict(committer.conflicting_keys),
             committer.queued,
         )
--- a/src/sandladder/jobs/archiver.py
+++ b/src/sandladder/jobs/archiver.py
@@ -8,7 +8,7 @@
 from sandladder.membership import ControllerLease
 from sandladder.peers import PeerService
 from sandladder.state import (
-    P_IDLE,
+    PRIORITY_BACKGROUND,
     GroupCommitter,
     PendingChange,
     StateCache,
@@ -62,7 +62,7 @@
             self._committer.add(
                 PendingChange(
                     f"archive {job_id}",
-                    P_IDLE,
+                    PRIORITY_BACKGROUND,
                     _CHANGES_PER_JOB,
                     partial(archive_job, job_id=job_id),
                 )
--- a/src/sandladder/jobs/backoff.py
+++ b/src/sandladder/jobs/backoff.py
@@ -2,7 +2,7 @@
 
 import logging
 
-from sandladder.config import WorkerSettings
+from sandladder.config import AgentSettings
 from sandladder.model import FAILURES, REFUSALS, EndedAttempt
 from sandladder.scheduling import Planner
 
@@ -20,7 +20,7 @@
     Pure: no I/O, no clock.
     """
 
-    def __init__(self, planner: Planner, workers: WorkerSettings) -> None:
+    def __init__(self, planner: Planner, workers: AgentSettings) -> None:
         self._planner = planner
         self._cluster_view = planner.cluster_view
         self._workers = workers
@@ -38,7 +38,7 @@
             return
         delay_s = self._workers.report_s / 3
         if ended.outcome in REFUSALS:
-            self._cluster_view.doubt(ended.attempt.machine, self._workers.report_s)
+            self._cluster_view.avoid_machine(ended.attempt.machine, self._workers.report_s)
         else:
             delay_s = self._after_failure(ended, delay_s)
         self._until[ended.job] = max(
@@ -51,7 +51,7 @@
 
         The more machines it failed on, the longer.
         """
-        failed_on = self._planner.avoid.setdefault(ended.job, set())
+        failed_on = self._planner.failed_machines.setdefault(ended.job, set())
         failed_on.add(ended.attempt.machine)
         doublings = min(len(failed_on) - 1, _MAX_DOUBLINGS)
         return min(_MAX_DELAY_LEASES * self._workers.lease_s, delay_s * 2.0**doublings)
--- a/src/sandladder/jobs/dependency_resolver.py
+++ b/src/sandladder/jobs/dependency_resolver.py
@@ -6,12 +6,12 @@
 
 from sandladder import clock
 from sandladder.concurrency import Signal
-from sandladder.config import WorkerSettings
+from sandladder.config import AgentSettings
 from sandladder.jobs.dependent_canceller import DependentCanceller
 from sandladder.membership import ControllerLease
 from sandladder.model import FinishedJob
 from sandladder.state import (
-    FINAL,
+    FINISHED_JOB_PREFIX,
     StateCache,
     StoreClient,
     StoreRequestError,
@@ -33,7 +33,7 @@
 
     def __init__(
         self,
-        workers: WorkerSettings,
+        workers: AgentSettings,
         store: StoreClient,
         cache: StateCache,
         watch: StoreWatch,
@@ -79,7 +79,7 @@
         Raises:
             StoreRequestError: some could not be read; what was read by then is kept.
         """
-        for name, final in (await self.finished_jobs(names)).items():
+        for name, final in (await self.read_finished_jobs(names)).items():
             if final is not None:
                 self._missing.pop(name, None)
                 self._plan_due.set()
@@ -89,7 +89,7 @@
                     log.error("there is no record of %s, on which others depend", name)
                 self._missing[name] = clock.now() + self._lease_s
 
-    async def finished_jobs(self, names: list[str]) -> dict[str, FinishedJob | None]:
+    async def read_finished_jobs(self, names: list[str]) -> dict[str, FinishedJob | None]:
         """How these jobs ended, read now where it is not in memory; None: not among the finished.
 
         Cancelled, it leaves in memory what was read by then.
@@ -97,7 +97,9 @@
         Raises:
             StoreRequestError: some could not be read.
         """
-        found: dict[str, FinishedJob | None] = {name: self._cache.final(name) for name in names}
+        found: dict[str, FinishedJob | None] = {
+            name: self._cache.finished_job(name) for name in names
+        }
         unread = [name for name, final in found.items() if final is None]
         # Collected, as the task group would wrap what is raised in it.
         failures: list[StoreRequestError] = []
@@ -106,13 +108,13 @@
             while unread and not failures:
                 name = unread.pop()
                 try:
-                    stored = await self._store.get(FINAL + name)
+                    stored = await self._store.get(FINISHED_JOB_PREFIX + name)
                 except StoreRequestError as error:
                     failures.append(error)
                     return
                 if stored is not None:
                     final = found[name] = read_finished_job(*stored)
-                    self._cache.remember(name, final)
+                    self._cache.add_finished_job(name, final)
 
         async with anyio.create_task_group() as tasks:
             for _ in range(min(_CONCURRENT_READS, len(unread))):
--- a/src/sandladder/jobs/dependent_canceller.py
+++ b/src/sandladder/jobs/dependent_canceller.py
@@ -5,11 +5,11 @@
 
 from sandladder import clock
 from sandladder.concurrency import BackgroundTasks
-from sandladder.config import WorkerSettings
+from sandladder.config import AgentSettings
 from sandladder.jobs.transitions import cancel
 from sandladder.peers import PeerService
 from sandladder.state import (
-    P_USER,
+    PRIORITY_REQUEST,
     GroupCommitter,
     PendingChange,
     PreconditionFailedError,
@@ -34,7 +34,7 @@
     def __init__(
         self,
         node: str,
-        workers: WorkerSettings,
+        workers: AgentSettings,
         cache: StateCache,
         committer: GroupCommitter,
         peers: PeerService,
@@ -74,7 +74,7 @@
             cancel(transaction, job_id, self._wall())
             return True
 
-        change = PendingChange(f"cancel {job_id}", P_USER, _MOST_CHANGES, apply)
+        change = PendingChange(f"cancel {job_id}", PRIORITY_REQUEST, _MOST_CHANGES, apply)
         try:
             await self._committer.add(change).wait()
         except PreconditionFailedError as refusal:
--- a/src/sandladder/jobs/end_announcer.py
+++ b/src/sandladder/jobs/end_announcer.py
@@ -59,7 +59,7 @@
         """The ends that were proved here of late."""
         return self._proved
 
-    def collect(self, ends: Iterable[EndedAttempt]) -> None:
+    def collect_ends(self, ends: Iterable[EndedAttempt]) -> None:
         """Take in ends that were proved here; those taken in before count as repeated."""
         now = clock.now()
         first_proved: list[peer_transport.EndedTask] = []
@@ -84,7 +84,7 @@
 
     def receive(self, ended: EndedAttempt) -> None:
         """Take in an end that a peer has proved."""
-        self._cluster_view.note_over(ended)
+        self._cluster_view.note_ended(ended)
         self._plan_due.set()
         job = self._cache.jobs.get(ended.job)
         if job is not None and self._peers.assignee(job.spec.team) == self._node:
@@ -111,7 +111,7 @@
                 ended.attempt.machine,
                 ended.outcome,
             )
-        self._cluster_view.note_over(ended)
+        self._cluster_view.note_ended(ended)
         self._plan_due.set()
 
     def _inform_peers(
@@ -137,7 +137,7 @@
         task=ended.task,
         machine=attempt.machine,
         zone=attempt.zone,
-        session=attempt.session,
+        session=attempt.agent_epoch,
         attempt=attempt.attempt,
         outcome=ended.outcome,
     )
--- a/src/sandladder/jobs/end_queue.py
+++ b/src/sandladder/jobs/end_queue.py
@@ -10,7 +10,7 @@
     Job,
     TeamUsage,
     headroom,
-    nearly_used_up,
+    nearly_exhausted,
 )
 from sandladder.scheduling import Planner
 
@@ -72,9 +72,9 @@
             return True
         if len(self._ends[ended.job]) >= len(job.live):
             return True
-        limits = self._cluster_view.limits.get(job.spec.team)
-        usage = self._cache.used.get(job.spec.team, TeamUsage())
-        if nearly_used_up(limits, usage, _NEAR_LIMIT):
+        limits = self._cluster_view.team_limits.get(job.spec.team)
+        usage = self._cache.usage.get(job.spec.team, TeamUsage())
+        if nearly_exhausted(limits, usage, _NEAR_LIMIT):
             return True  # some job of the team may wait for this
         record_full = len(job.live) >= self._planner.most_live(job.spec)
         return job.waiting > 0 and (record_full or not headroom(limits, usage).covers(job.spec))
--- a/src/sandladder/jobs/job_committer.py
+++ b/src/sandladder/jobs/job_committer.py
@@ -10,7 +10,7 @@
 from sandladder import clock
 from sandladder.agents import AgentService
 from sandladder.concurrency import BackgroundTasks, Signal
-from sandladder.config import WorkerSettings
+from sandladder.config import AgentSettings
 from sandladder.jobs.archiver import JobArchiver
 from sandladder.jobs.backoff import JobBackoff
 from sandladder.jobs.end_announcer import EndAnnouncer, ProvedEnd
@@ -23,14 +23,14 @@
 from sandladder.peers import PeerService
 from sandladder.scheduling import ClusterView, PendingStart, Planner
 from sandladder.state import (
-    JOB,
-    P_START,
-    P_WORK,
+    JOB_PREFIX,
+    PRIORITY_JOB,
+    PRIORITY_URGENT_START,
     GroupCommitter,
     PendingChange,
     PreconditionFailedError,
     Transaction,
-    work_priority,
+    job_priority,
 )
 
 log = logging.getLogger(__name__)
@@ -51,7 +51,7 @@
 
     def __init__(
         self,
-        workers: WorkerSettings,
+        workers: AgentSettings,
         planner: Planner,
         committer: GroupCommitter,
         controller_lease: ControllerLease,
@@ -67,7 +67,7 @@
         self._lease_s = workers.lease_s
         self._cluster_view = planner.cluster_view
         self._cache = planner.cluster_view.cache
-        self._limits = planner.limits
+        self._limits = planner.store_limits
         self._committer = committer
         self._controller_lease = controller_lease
         self._membership = membership
@@ -95,22 +95,22 @@
         return self._backoff.until
 
     @property
-    def _proved(self) -> Mapping[AttemptKey, ProvedEnd]:
+    def proved_ends(self) -> Mapping[AttemptKey, ProvedEnd]:
         """The ends that were proved here of late."""
         return self._announcer.proved
 
-    def collect(self, ends: Iterable[EndedAttempt]) -> None:
+    def collect_ends(self, ends: Iterable[EndedAttempt]) -> None:
         """Take in ends that were proved here: what they leave is free at once.
 
         The controllers to which the jobs' teams are assigned commit them.
         """
-        self._announcer.collect(ends)
+        self._announcer.collect_ends(ends)
 
-    def told(self, ended: EndedAttempt) -> None:
+    def handle_peer_end(self, ended: EndedAttempt) -> None:
         """Take in an end that a peer has proved."""
         self._announcer.receive(ended)
 
-    def start(self, pending_starts: Iterable[PendingStart]) -> None:
+    def commit_starts(self, pending_starts: Iterable[PendingStart]) -> None:
         """Have pending starts committed if they pass the gate by then."""
         for job_id in self._starts.add(pending_starts):
             self._commit(job_id)
@@ -143,7 +143,7 @@
             self._priority(job_id),
             _MOST_CHANGES,
             lambda transaction: self._apply(transaction, job_id),
-            adds=lambda transaction: self._count_changes(transaction, job_id),
+            added_operations=lambda transaction: self._count_changes(transaction, job_id),
             on_commit=lambda: self._committed(job_id),
         )
         self._committer.add(change)
@@ -153,14 +153,14 @@
         """More urgent jobs first; first starts of urgent jobs don't wait for the write budget."""
         job = self._cache.jobs.get(job_id)
         if job is None:
-            return P_WORK
-        priority = self._cluster_view.outlook(job).priority
+            return PRIORITY_JOB
+        priority = self._cluster_view.scheduling_priority(job).priority
         untouched = not job.live and not job.done.count
         if untouched and priority >= HIGH and job_id in self._starts:
-            return P_START
+            return PRIORITY_URGENT_START
         if self._teams_unblocked_by(job_id):
-            return P_START
-        return work_priority(priority)
+            return PRIORITY_URGENT_START
+        return job_priority(priority)
 
     def _teams_unblocked_by(self, job_id: str) -> list[str]:
         """The teams of a job's dependents, when its last ends are to be committed."""
@@ -198,7 +198,7 @@
             self._starts.withdraw(passed)
             return record_done_dependencies(transaction, job.id, most_dependencies)
         placements = [pending_start.placement for pending_start in passed]
-        limits = self._cluster_view.limits.get(job.spec.team)
+        limits = self._cluster_view.team_limits.get(job.spec.team)
         try:
             start(transaction, job.id, placements, limits, self._membership.own)
         except PreconditionFailedError as refusal:
@@ -207,7 +207,7 @@
             return False
         self._released[job.id] = passed
         for pending_start in passed:
-            pending_start.under_way = True
+            pending_start.commit_in_flight = True
         return True
 
     def _committed(self, job_id: str) -> None:
@@ -242,7 +242,7 @@
             # (seen in the simulation).  The next round of planning takes it up.
             self._starts.withdraw(left)
         elif left:
-            self.start(left)
+            self.commit_starts(left)
         self._plan_due.set()
 
     def _finish_end(self, ended: EndedAttempt) -> None:
@@ -251,9 +251,9 @@
         job = self._cache.jobs.get(ended.job)
         if job is not None and same_attempt(job.live.get(ended.task), ended.attempt):
             self._enqueue_end(ended)  # it came while the others were being committed
-        agent = self._cluster_view.reconciler.machines.get(ended.attempt.machine)
+        agent = self._cluster_view.reconciler.agents.get(ended.attempt.machine)
         if agent is not None:
-            self._agent_service.push(agent)
+            self._agent_service.send_commands(agent)
 
 
 def _log_starts(
@@ -265,10 +265,10 @@
         "starts of %s (%s): %d tasks after %.1f s, images in %.1f s, %d without a fetch, "
         "at revision %d",
         job.id,
-        job.spec.cls,
+        job.spec.job_class,
         len(started),
-        time_of_day - cluster_view.since(job),
+        time_of_day - cluster_view.waiting_since(job),
         max(waits_s),
         sum(wait_s <= 0 for wait_s in waits_s),
-        cluster_view.cache.version(JOB + job.id),
+        cluster_view.cache.version(JOB_PREFIX + job.id),
     )
--- a/src/sandladder/jobs/start_queue.py
+++ b/src/sandladder/jobs/start_queue.py
@@ -40,12 +40,14 @@
         for pending_start in self._starts.get(job_id, ()):
             if not self._is_pending(pending_start):
                 continue
-            pending_start.under_way = False
+            pending_start.commit_in_flight = False
             verdict = self._gate.release(pending_start, self._cluster_view)
             if verdict.outcome < Outcome.REPLAN:
                 passed.append(pending_start)
             else:
-                log.debug("%s %s: %s", verdict.outcome.name, pending_start.key, verdict.reason)
+                log.debug(
+                    "%s %s: %s", verdict.outcome.name, pending_start.key, verdict.failed_premise
+                )
         self._starts[job_id] = passed
         return list(passed)
 
--- a/src/sandladder/jobs/starts.py
+++ b/src/sandladder/jobs/starts.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 
 from sandladder.config import TeamLimits
-from sandladder.membership import may_place
+from sandladder.membership import may_schedule
 from sandladder.model import (
     DONE,
     GANG,
@@ -19,7 +19,13 @@
     headroom,
     zones_allowed,
 )
-from sandladder.state import FINAL, JOB, TEAM, PreconditionFailedError, Transaction
+from sandladder.state import (
+    FINISHED_JOB_PREFIX,
+    JOB_PREFIX,
+    TEAM_PREFIX,
+    PreconditionFailedError,
+    Transaction,
+)
 
 
 def start(
@@ -51,7 +57,7 @@
     _check_team(transaction, job.spec, len(placements), limits, assignment)
     if not transaction.is_schema_v1:
         # Another controller that takes the team over changes its record, and this is refused.
-        key = TEAM + job.spec.team
+        key = TEAM_PREFIX + job.spec.team
         transaction.expected_versions[key] = transaction.cache.version(key)
     if job.dependencies:
         _record_all_done(transaction, job, ready_since)
@@ -65,10 +71,10 @@
     """Check that all dependencies are known to be done; the time of day of the last, in seconds."""
     dependency_index = transaction.cache.dependency_index
     for name in job.dependencies:
-        final = dependency_index.settled(name)
+        final = dependency_index.finished_job(name)
         if final is None or final.state != DONE:
             raise PreconditionFailedError(f"{name} is not known to be done")
-    return dependency_index.since(job)
+    return dependency_index.ready_since(job)
 
 
 def _check_tasks(job: Job, placements: Sequence[Placement]) -> None:
@@ -90,23 +96,23 @@
     assignment: TeamAssignment | None,
 ) -> None:
     """Check that the team is assigned to us, and that its limits cover so many more tasks."""
-    key, cache = TEAM + spec.team, transaction.cache
-    if not transaction.is_schema_v1 and not may_place(cache, spec.team, assignment):
+    key, cache = TEAM_PREFIX + spec.team, transaction.cache
+    if not transaction.is_schema_v1 and not may_schedule(cache, spec.team, assignment):
         raise PreconditionFailedError("the team is assigned to another controller")
-    if transaction.unsure.get(key) == cache.version(key) > 0:
+    if transaction.in_doubt.get(key) == cache.version(key) > 0:
         # Moving the record along with this start is not enough: the late one may arrive between
         # our reading and this.  Found by the search of the model (tests/membership).
         raise PreconditionFailedError("a start that had no answer may still arrive")
     if cache.starts_blocked(spec.team):
         raise PreconditionFailedError("the team's usage is not known")
-    if not headroom(limits, transaction.held(spec.team)).covers(spec, tasks):
+    if not headroom(limits, transaction.usage_of(spec.team)).covers(spec, tasks):
         raise PreconditionFailedError("the team's limit")
 
 
 def _record_all_done(transaction: Transaction, job: Job, ready_since: float) -> None:
     """Record of a job that all its dependencies are done, as relied on by its first start."""
     for name in job.dependencies:
-        final = transaction.cache.dependency_index.settled(name)
+        final = transaction.cache.dependency_index.finished_job(name)
         if final is not None:
             _expect_unchanged(transaction, name, final)
     job.dependencies, job.ready = (), ready_since
@@ -128,12 +134,12 @@
         return False
     done: list[str] = []
     for name in job.dependencies:
-        final = transaction.cache.dependency_index.settled(name)
+        final = transaction.cache.dependency_index.finished_job(name)
         if final is not None and final.state == DONE and len(done) < most:
             done.append(name)
             _expect_unchanged(transaction, name, final)
     if done:
-        job.ready = transaction.cache.dependency_index.since(job)
+        job.ready = transaction.cache.dependency_index.ready_since(job)
         job.dependencies = tuple(name for name in job.dependencies if name not in done)
     return bool(done)
 
@@ -141,4 +147,6 @@
 def _expect_unchanged(transaction: Transaction, job_id: str, final: FinishedJob) -> None:
     """Rely on how a job ended; that never changes, but its record may move."""
     if final.version:
-        transaction.expected_versions[(FINAL if final.filed else JOB) + job_id] = final.version
+        transaction.expected_versions[
+            (FINISHED_JOB_PREFIX if final.archived else JOB_PREFIX) + job_id
+        ] = final.version
--- a/src/sandladder/jobs/transitions.py
+++ b/src/sandladder/jobs/transitions.py
@@ -27,8 +27,8 @@
     headroom,
 )
 from sandladder.state import (
-    FINAL,
-    JOB,
+    FINISHED_JOB_PREFIX,
+    JOB_PREFIX,
     PreconditionFailedError,
     Transaction,
     finished_job_value,
@@ -63,7 +63,7 @@
     if (
         spec.id in transaction.jobs
         or spec.id in transaction.cache.jobs
-        or transaction.cache.final(spec.id)
+        or transaction.cache.finished_job(spec.id)
     ):
         raise PreconditionFailedError("known")
     dependencies = dependencies or SubmittedDependencies()
@@ -202,6 +202,8 @@
     final = transaction.cache.unarchived.get(job_id)
     if final is None or transaction.is_schema_v1:
         return False
-    transaction.put(JOB + job_id, None, final.version)
-    transaction.put(FINAL + job_id, finished_job_value(final, transaction.cache.schema_version), 0)
+    transaction.put(JOB_PREFIX + job_id, None, final.version)
+    transaction.put(
+        FINISHED_JOB_PREFIX + job_id, finished_job_value(final, transaction.cache.schema_version), 0
+    )
     return True
--- a/src/sandladder/membership/__init__.py
+++ b/src/sandladder/membership/__init__.py
@@ -16,7 +16,7 @@
 from sandladder.membership.inventory_writer import AgentInventory, InventoryWriter
 from sandladder.membership.phi_accrual import MAX_PHI, PhiAccrualWindow
 from sandladder.membership.policy import MembershipPolicy
-from sandladder.membership.roster import RosterRecords, may_place
+from sandladder.membership.roster import RosterRecords, may_schedule
 from sandladder.membership.roster_transitions import RosterTransition
 from sandladder.membership.service import MembershipService
 from sandladder.membership.worker_assignment import ReportingAgent, WorkerAssignment, WorkerLoad
@@ -40,5 +40,5 @@
     "RosterTransition",
     "WorkerAssignment",
     "WorkerLoad",
-    "may_place",
+    "may_schedule",
 ]
--- a/src/sandladder/membership/changes.py
+++ b/src/sandladder/membership/changes.py
@@ -50,7 +50,7 @@
     Raises:
         PreconditionFailedError: what the change was decided on is no longer so.
     """
-    node, incarnation = context.own.node, context.own.term
+    node, incarnation = context.own.node, context.own.incarnation
     subject = change.subject
     match change.kind:
         case ChangeKind.JOIN:
--- a/src/sandladder/membership/controller_lease.py
+++ b/src/sandladder/membership/controller_lease.py
@@ -9,13 +9,13 @@
 from sandladder.concurrency import Signal
 from sandladder.membership.inventory_writer import InventoryWriter
 from sandladder.model import SCHEMA_V2
-from sandladder.protocol import wire
+from sandladder.protocol import MalformedMessageError
 from sandladder.state import (
-    P_HOLD,
-    P_USER,
+    FENCING_TOKEN_KEY,
+    MACHINE_TYPES_KEY,
+    PRIORITY_LEASE,
+    PRIORITY_REQUEST,
     SCHEMA_VERSION_KEY,
-    TERM,
-    TYPES,
     GroupCommitter,
     LeaseExpiredError,
     LeaseRenewal,
@@ -26,7 +26,7 @@
     StoreRequestError,
     StoreWatch,
     Transaction,
-    fresh,
+    is_store_empty,
     schema_version_value,
 )
 
@@ -115,7 +115,7 @@
         The platform runs one process of each controller.  Should there be two all the same, the one
         that acquired its lease last stays, and the other is fenced until that one's lease ends.
         """
-        inventory = self._cache.nodes.get(self._node)
+        inventory = self._cache.inventories.get(self._node)
         if inventory is not None and inventory.process == self._process:
             self._was_present = True
         elif inventory is not None and self._was_present:
@@ -147,14 +147,14 @@
             except (
                 StoreRequestError,
                 PreconditionFailedError,
-                wire.MalformedMessageError,
+                MalformedMessageError,
             ) as error:
                 log.debug("the lease of controller %s cannot be renewed: %s", self._node, error)
                 await anyio.sleep(self._report_s / 10)
                 continue
             await self._due.wait(renewal_interval_s)
 
-    async def rise_above(self, token: int) -> bool:
+    async def acquire_token_above(self, token: int) -> bool:
         """Acquire a fencing token above one that an agent has seen: the agent has come here.
 
         Waits for the state service, at most an agent's heartbeat interval.  Cancelled, a token may
@@ -176,7 +176,7 @@
                 return False
             return True
 
-    async def summarise(self) -> None:
+    async def publish_inventory(self) -> None:
         """Write the inventory every few seconds until cancelled."""
         while True:
             await anyio.sleep(self._inventory_interval_s)
@@ -235,16 +235,16 @@
             nonlocal acquired
             if self.superseded:
                 raise PreconditionFailedError("another process runs under our name")
-            acquired = max(self._cache.term, above) + 1
-            transaction.put(TERM, acquired, self._cache.version(TERM))
-            if fresh(self._cache):
+            acquired = max(self._cache.fencing_token, above) + 1
+            transaction.put(FENCING_TOKEN_KEY, acquired, self._cache.version(FENCING_TOKEN_KEY))
+            if is_store_empty(self._cache):
                 # No former version ever wrote here: the records begin in the newest schema.
                 transaction.put(SCHEMA_VERSION_KEY, schema_version_value(SCHEMA_V2), 0)
-                transaction.expected_versions[TYPES] = 0
+                transaction.expected_versions[MACHINE_TYPES_KEY] = 0
             self._inventory.put(transaction, acquired, lease)
             return True
 
-        change = PendingChange("fencing token", P_HOLD, 2, apply, leased=True)
+        change = PendingChange("fencing token", PRIORITY_LEASE, 2, apply, leased=True)
         await self._committer.add(change).wait()
         self._on_fencing_token(acquired)
 
@@ -257,5 +257,5 @@
 
         await self._inventory.write_ahead(lease)
         # The other controllers start tasks on our machines by the inventory: it must not starve.
-        change = PendingChange("inventory", P_USER, 1, apply, leased=True)
+        change = PendingChange("inventory", PRIORITY_REQUEST, 1, apply, leased=True)
         await self._committer.add(change).wait()
--- a/src/sandladder/membership/failure_detector.py
+++ b/src/sandladder/membership/failure_detector.py
@@ -121,7 +121,7 @@
         for name, peer in self._peers.items():
             peer.holds_lease = name in holders
 
-    def came_over(self, node: str, now: float) -> None:
+    def record_agent_failover(self, node: str, now: float) -> None:
         """An agent that reported to this controller reports here now."""
         peer = self._peers.get(node)
         if peer is not None:
--- a/src/sandladder/membership/inventory_writer.py
+++ b/src/sandladder/membership/inventory_writer.py
@@ -9,7 +9,7 @@
 
 from sandladder.model import SCHEMA_V1, SCHEMA_V2, MachineInventory, MachineStatus
 from sandladder.state import (
-    P_USER,
+    PRIORITY_REQUEST,
     GroupCommitter,
     PendingChange,
     StateCache,
@@ -97,10 +97,10 @@
 
     async def _commit_part(self, key: str, value: Any, lease: int) -> None:
         def apply(transaction: Transaction) -> bool:
-            transaction.write(key, value, lease)
+            transaction.put_unsplit(key, value, lease)
             return True
 
-        change = PendingChange("part of the inventory", P_USER, 1, apply, leased=True)
+        change = PendingChange("part of the inventory", PRIORITY_REQUEST, 1, apply, leased=True)
         await self._committer.add(change).wait()
 
     def _changes(self, transaction: Transaction, fencing_token: int) -> list[tuple[str, Any]]:
--- a/src/sandladder/membership/member_health.py
+++ b/src/sandladder/membership/member_health.py
@@ -26,7 +26,7 @@
 
     def update(self, now: float) -> None:
         """Judge the others; a change of level is one line in the log, with the evidence."""
-        self._detector.record_leases(self._cache.nodes.keys() | self._cache.unreadable_nodes)
+        self._detector.record_leases(self._cache.inventories.keys() | self._cache.unreadable_nodes)
         for node in self._detector.peers():
             assessment = self._detector.assess(node, now)
             before = self.assessments.get(node)
@@ -51,7 +51,7 @@
         lives.
         """
         known = self.assessments.get(node)
-        if known is not None or node in self._cache.nodes:
+        if known is not None or node in self._cache.inventories:
             return known
         return HealthAssessment(HealthLevel.EXPIRED, NO_LEASE)
 
--- a/src/sandladder/membership/policy.py
+++ b/src/sandladder/membership/policy.py
@@ -27,7 +27,7 @@
 )
 from sandladder.membership.roster_transitions import RosterTransition
 from sandladder.model import IN, OUT, SCHEMA_V1, SUSPECT, Member, TeamAssignment
-from sandladder.state import ROSTER, StateCache
+from sandladder.state import ROSTER_KEY, StateCache
 
 # In intervals between an agent's heartbeats (`report_s`):
 # A silence that may be a moment's slowness is tolerated for so long; one of a controller that
@@ -112,9 +112,9 @@
         if self._able_since is None:
             self._able_since = now
         me = self._cache.roster.get(self.node)
-        if me is None or me.state == OUT or me.term < own.term:
+        if me is None or me.state == OUT or me.incarnation < own.incarnation:
             return [MembershipChange(ChangeKind.JOIN)]
-        if me.term > own.term:
+        if me.incarnation > own.incarnation:
             return []  # a later process runs under this name
         if me.state == SUSPECT:
             return [MembershipChange(ChangeKind.REFUTE)]
@@ -124,7 +124,7 @@
             *self._returns(now, wall),
         ]
 
-    def calm(self, now: float) -> bool:
+    def is_stable(self, now: float) -> bool:
         """Whether all members, this one among them, have been healthy for a while."""
         return self._health.all_healthy_s(now) >= _STABLE_TIME * self.detector.report_s
 
@@ -148,7 +148,7 @@
     @property
     def _roster_usable(self) -> bool:
         """Whether there is a roster to write: the schema has one, and it can be read."""
-        return self._cache.schema_version != SCHEMA_V1 and ROSTER not in self._cache.unreadable
+        return self._cache.schema_version != SCHEMA_V1 and ROSTER_KEY not in self._cache.unreadable
 
     def _note_assignments(self, now: float) -> None:
         if self._cache.assignments != self._assignments:
@@ -187,7 +187,7 @@
             kind = self._change_of(node, member, assessment, now, lasting)
             if kind is None:
                 continue
-            key = _PendingKey(kind.value, node, member.term, member.refuted)
+            key = _PendingKey(kind.value, node, member.incarnation, member.refutations)
             lasting.add(key)
             if self._is_our_turn(now, key):
                 changes.append(MembershipChange(kind, node, member, assessment.evidence))
@@ -216,7 +216,7 @@
             return ChangeKind.CLEAR
 
         def lasted_s(condition: str) -> float:
-            key = _PendingKey(condition, node, member.term, member.refuted)
+            key = _PendingKey(condition, node, member.incarnation, member.refutations)
             lasting.add(key)
             return now - self._pending_since.setdefault(key, now)
 
@@ -256,7 +256,7 @@
     def _returns(self, now: float, wall: float) -> list[MembershipChange]:
         """The return of one team to its home, when all have been healthy for a while."""
         stable_s = _STABLE_TIME * self.detector.report_s
-        if not self.calm(now) or now - self._reassigned_at < stable_s:
+        if not self.is_stable(now) or now - self._reassigned_at < stable_s:
             return []
         if min(self._health.serving_members(), default="") != self.node:
             return []
--- a/src/sandladder/membership/roster.py
+++ b/src/sandladder/membership/roster.py
@@ -11,7 +11,7 @@
 
 from sandladder.membership.rendezvous import rendezvous_weight
 from sandladder.model import IN, OUT, Member, TeamAssignment
-from sandladder.state import TEAM, StateCache
+from sandladder.state import TEAM_PREFIX, StateCache
 
 # How often the settling time is doubled at the most.
 _MAX_DOUBLINGS = 5
@@ -86,7 +86,7 @@
     return successor(team, records.roster, team_counts(records))
 
 
-def may_place(cache: StateCache, team: str, assignment: TeamAssignment | None) -> bool:
+def may_schedule(cache: StateCache, team: str, assignment: TeamAssignment | None) -> bool:
     """Whether starts of this team are surely this process's to commit.
 
     Its record must name this very process, and the cache must hold all that was committed before
@@ -100,5 +100,5 @@
     return (
         assignment is not None
         and cache.assignments.get(team) == assignment
-        and cache.revision >= cache.version(TEAM + team) > 0
+        and cache.revision >= cache.version(TEAM_PREFIX + team) > 0
     )
--- a/src/sandladder/membership/roster_transitions.py
+++ b/src/sandladder/membership/roster_transitions.py
@@ -23,8 +23,8 @@
 )
 from sandladder.model import IN, OUT, SUSPECT, Member, TeamAssignment
 from sandladder.state import (
-    ROSTER,
-    TEAM,
+    ROSTER_KEY,
+    TEAM_PREFIX,
     PreconditionFailedError,
     Transaction,
     assignment_value,
@@ -65,15 +65,15 @@
         PreconditionFailedError: a later process of this controller is a member.
     """
     known = records.roster.get(node)
-    if known is not None and known.state == IN and known.term == incarnation:
+    if known is not None and known.state == IN and known.incarnation == incarnation:
         return _NOTHING
-    if known is not None and known.term > incarnation:
+    if known is not None and known.incarnation > incarnation:
         raise PreconditionFailedError("a later process runs under this name")
     flaps, refuted, since = 0, 0, wall
     if known is not None:
         flaps = known.flaps
-        if known.term == incarnation:
-            refuted = known.refuted + 1
+        if known.incarnation == incarnation:
+            refuted = known.refutations + 1
         if known.state != OUT:
             since = known.since  # it was never evicted: nothing of it moved
     assignment = TeamAssignment(node, incarnation)
@@ -103,9 +103,9 @@
 def refute(records: RosterRecords, node: str, incarnation: int) -> RosterTransition:
     """A suspected member that lives refutes that; its number of refutations goes up."""
     known = records.roster.get(node)
-    if known is None or known.state != SUSPECT or known.term != incarnation:
+    if known is None or known.state != SUSPECT or known.incarnation != incarnation:
         return _NOTHING
-    cleared = known._replace(state=IN, refuted=known.refuted + 1, why="")
+    cleared = known._replace(state=IN, refutations=known.refutations + 1, why="")
     return RosterTransition({**records.roster, node: cleared})
 
 
@@ -162,14 +162,14 @@
         new_assignee = successor(team, after.roster, counts)
         if new_assignee is not None:
             counts[new_assignee] += 1
-            moved[team] = TeamAssignment(new_assignee, after.roster[new_assignee].term)
+            moved[team] = TeamAssignment(new_assignee, after.roster[new_assignee].incarnation)
     return moved
 
 
 def leave(records: RosterRecords, node: str, incarnation: int, wall: float) -> RosterTransition:
     """A controller that shuts down hands its teams over itself; that counts as no flap."""
     known = records.roster.get(node)
-    if known is None or known.term != incarnation or known.state == OUT:
+    if known is None or known.incarnation != incarnation or known.state == OUT:
         return _NOTHING
     transition = evict(records, node, known, _LEFT, wall, 1.0)
     assert transition.roster is not None
@@ -188,7 +188,7 @@
     if records.assignments.get(team) == assignment:
         return _NOTHING
     member = records.roster.get(assignment.node)
-    if member is None or member.state != IN or member.term != assignment.term:
+    if member is None or member.state != IN or member.incarnation != assignment.incarnation:
         raise PreconditionFailedError("not a member")
     if rightful_assignee(team, home, records) != assignment.node:
         raise PreconditionFailedError("another controller's team")
@@ -208,7 +208,7 @@
         raise PreconditionFailedError("it is not in")
     if records.assignments.get(team) != observed:
         raise PreconditionFailedError("the team has moved since")
-    return RosterTransition(assignments={team: TeamAssignment(node, member.term)})
+    return RosterTransition(assignments={team: TeamAssignment(node, member.incarnation)})
 
 
 def write(transaction: Transaction, transition: RosterTransition, max_operations: int) -> bool:
@@ -224,17 +224,19 @@
     if not transition:
         return False
     cache = transaction.cache
-    if ROSTER in transaction.others:
+    if ROSTER_KEY in transaction.other_records:
         # What was decided on the roster as it is does not hold for what it will be.
         raise PreconditionFailedError("another change of the roster goes along")
-    transaction.expected_versions[ROSTER] = cache.version(ROSTER)
+    transaction.expected_versions[ROSTER_KEY] = cache.version(ROSTER_KEY)
     if transition.roster is not None:
         value = {node: list(member) for node, member in sorted(transition.roster.items())}
-        transaction.put(ROSTER, value, cache.version(ROSTER))
+        transaction.put(ROSTER_KEY, value, cache.version(ROSTER_KEY))
     for team, assignment in transition.assignments.items():
         if transaction.size >= max_operations:
             break
-        transaction.put(TEAM + team, assignment_value(assignment), cache.version(TEAM + team))
+        transaction.put(
+            TEAM_PREFIX + team, assignment_value(assignment), cache.version(TEAM_PREFIX + team)
+        )
     return True
 
 
--- a/src/sandladder/membership/service.py
+++ b/src/sandladder/membership/service.py
@@ -17,7 +17,7 @@
 from sandladder.membership.worker_assignment import WorkerLoad
 from sandladder.model import IN, SUSPECT, MachineInventory, Member, TeamAssignment
 from sandladder.state import (
-    P_HOLD,
+    PRIORITY_LEASE,
     GroupCommitter,
     LeaseExpiredError,
     PendingChange,
@@ -113,7 +113,7 @@
 
     def observe(self, now: float) -> None:
         """The records changed: note who wrote something, and whether a member's state changed."""
-        for node, inventory in self._cache.nodes.items():
+        for node, inventory in self._cache.inventories.items():
             if self._inventories.get(node) is not inventory:
                 self._inventories[node] = inventory
                 self.detector.record_write(node, now)
@@ -122,7 +122,10 @@
         before, self._members = self._members, self._cache.roster
         for node, member in self._members.items():
             known = before.get(node)
-            if known is None or (member.term, member.refuted) > (known.term, known.refuted):
+            if known is None or (member.incarnation, member.refutations) > (
+                known.incarnation,
+                known.refutations,
+            ):
                 self.detector.record_write(node, now)
             if known is None or known.state != member.state:
                 self._due.set()
@@ -139,7 +142,7 @@
         roster = sorted(self._cache.roster.items())
         return [node for node, member in roster if member.state in (IN, SUSPECT)]
 
-    def loads(self, ours: int, token: int) -> dict[str, WorkerLoad]:
+    def worker_loads(self, ours: int, token: int) -> dict[str, WorkerLoad]:
         """The controllers that can take agents, this one among them.
 
         Args:
@@ -160,7 +163,7 @@
                 loads[node] = WorkerLoad(self._zones[node], status.agents, status.fencing_token)
         return loads
 
-    def heard_elsewhere(self) -> bool:
+    def agents_report_elsewhere(self) -> bool:
         """Whether agents report to some other controller that can serve."""
         statuses = (self.detector.status(node) for node in self.serving_peers())
         return any(status is not None and status.agents for status in statuses)
@@ -230,7 +233,7 @@
         # A refutation and a failover are what people wait for: they go with the lease's priority.
         pending = PendingChange(
             f"{change.kind.value} {subject}",
-            P_HOLD,
+            PRIORITY_LEASE,
             self._cost(change.kind),
             self._apply(change),
         )
--- a/src/sandladder/membership/worker_assignment.py
+++ b/src/sandladder/membership/worker_assignment.py
@@ -31,8 +31,10 @@
     """A controller that can take agents."""
 
     zone: str
-    machines: int  # how many report to it
-    token: int  # its fencing token: an agent that has seen a higher one makes it acquire a new one
+    agents: int  # how many report to it
+    fencing_token: (
+        int  # its fencing token: an agent that has seen a higher one makes it acquire a new one
+    )
 
 
 class ReportingAgent(NamedTuple):
@@ -101,30 +103,15 @@
             return None
         if (agent.reports_here and not stable) or self._must_stay(agent, now):
             return None
-        fair_share = max(1.0, sum(load.machines for load in loads.values()) / len(loads))
+        fair_share = max(1.0, sum(load.agents for load in loads.values()) / len(loads))
         target = self._best_target(agent, own, loads, fair_share)
         if target is None:
             return None
         if agent.reports_here and not self._may_rebalance(now, fair_share):
             return None
-        self._note_redirect(agent.machine, target.node, loads[target.node].machines, now)
+        self._note_redirect(agent.machine, target.node, loads[target.node].agents, now)
         return target.node
 
-    def refer(
-        self,
-        machine: str,
-        zone: str,
-        token: int,
-        ours: bool,
-        quiet_s: float | None,
-        loads: Mapping[str, WorkerLoad],
-        now: float,
-        calm: bool,
-    ) -> str | None:
-        """As `redirect`, for callers that have no `ReportingAgent` yet."""
-        agent = ReportingAgent(machine, zone, token, ours, quiet_s)
-        return self.redirect(agent, loads, now, calm)
-
     def _must_stay(self, agent: ReportingAgent, now: float) -> bool:
         """Whether the agent may lose its lease, or its tasks, if it is redirected."""
         if agent.silent_s is None and agent.token > 0:
@@ -145,21 +132,21 @@
         """The best controller that is nearer to the agent, or less loaded if this one is full."""
         away = own.zone != agent.zone
         own_bound = (_FOREIGN_LOAD_BOUND if away else _LOAD_BOUND) * fair_share
-        full = own.machines + (not agent.reports_here) > own_bound
+        full = own.agents + (not agent.reports_here) > own_bound
         margin = max(1.0, _MARGIN_SHARE * fair_share)
         best: _Target | None = None
         for node, load in loads.items():
             if node == self._node:
                 continue
-            count = self._expected_agents(node, load.machines)
+            count = self._expected_agents(node, load.agents)
             foreign = load.zone != agent.zone
             if count + 1 > (_FOREIGN_LOAD_BOUND if foreign else _LOAD_BOUND) * fair_share:
                 continue
-            needs_token = load.token < agent.token
+            needs_token = load.fencing_token < agent.token
             if agent.reports_here and needs_token:
                 continue
             nearer = away and not foreign
-            if not nearer and not (full and count + margin < own.machines):
+            if not nearer and not (full and count + margin < own.agents):
                 continue
             weight = rendezvous_weight(agent.machine, node)
             target = _Target(foreign, needs_token, weight, node)
--- a/src/sandladder/model/__init__.py
+++ b/src/sandladder/model/__init__.py
@@ -8,7 +8,7 @@
 Times of day are seconds since the epoch; durations are in seconds; sizes in gigabytes.
 """
 
-from sandladder.model.agents import AgentHeartbeat, ClockReading, Command, ReportedTask
+from sandladder.model.agents import AgentHeartbeat, ClockReading, Command, TaskStatus
 from sandladder.model.attempt_outcomes import FAILURES, REFUSALS, AttemptKey, AttemptOutcome
 from sandladder.model.attempts import Attempt, EndedAttempt, Placement
 from sandladder.model.dependencies import DependencyIndex, DependencyOutcome
@@ -42,12 +42,12 @@
 from sandladder.model.membership import IN, OUT, SUSPECT, Member, TeamAssignment
 from sandladder.model.quota import (
     EPSILON,
+    NO_HEADROOM,
     NO_USAGE,
-    NOTHING,
     Headroom,
     TeamUsage,
     headroom,
-    nearly_used_up,
+    nearly_exhausted,
     within_guarantee,
 )
 from sandladder.model.ranges import Ranges
@@ -86,7 +86,7 @@
     "MachineType",
     "Member",
     "NORMAL",
-    "NOTHING",
+    "NO_HEADROOM",
     "NO_USAGE",
     "OUT",
     "PENDING",
@@ -96,7 +96,7 @@
     "RENTED",
     "RUNNING",
     "Ranges",
-    "ReportedTask",
+    "TaskStatus",
     "SCHEMA_V1",
     "SCHEMA_V2",
     "SERVICE",
@@ -105,7 +105,7 @@
     "TeamAssignment",
     "TeamUsage",
     "headroom",
-    "nearly_used_up",
+    "nearly_exhausted",
     "within_guarantee",
     "zones_allowed",
 ]
--- a/src/sandladder/model/agents.py
+++ b/src/sandladder/model/agents.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 
-class ReportedTask(NamedTuple):
+class TaskStatus(NamedTuple):
     """A task in an agent's heartbeat.
 
     Attributes:
@@ -45,11 +45,11 @@
     type: str
     zone: str
     spot: bool
-    session: int
-    seq: int
-    token: int
+    agent_epoch: int
+    sequence_number: int
+    fencing_token: int
     notice_s: float | None
-    entries: tuple[ReportedTask, ...]
+    tasks: tuple[TaskStatus, ...]
 
 
 class Command(NamedTuple):
@@ -63,7 +63,7 @@
         grace_s: for how many seconds a task that is to be stopped may go on.
     """
 
-    op: str
+    operation: str
     job: str
     task: int
     attempt: int
--- a/src/sandladder/model/attempts.py
+++ b/src/sandladder/model/attempts.py
@@ -16,7 +16,7 @@
     task: int
     machine: str
     zone: str
-    session: int
+    agent_epoch: int
 
 
 class Attempt(NamedTuple):
@@ -32,7 +32,7 @@
 
     machine: str
     zone: str
-    session: int
+    agent_epoch: int
     attempt: int
     stop: float | None = None
 
--- a/src/sandladder/model/dependencies.py
+++ b/src/sandladder/model/dependencies.py
@@ -22,7 +22,7 @@
 
     READY = "ready"  # all of them are done
     WAITING = "waiting"  # some are live
-    DOOMED = "cancelled"  # one is cancelled, or has such an outcome itself
+    CANCELLED = "cancelled"  # one is cancelled, or has such an outcome itself
     UNKNOWN = "unknown"  # none is live, and how some ended must be read first
 
 
@@ -40,7 +40,7 @@
 
     # Changes
 
-    def changed(self, job_id: str, old: Job | None, new: Job | None) -> None:
+    def update(self, job_id: str, old: Job | None, new: Job | None) -> None:
         """Take in that a job became live, changed, or is live no more (`new` is None)."""
         before = self._dependencies.get(job_id, ())
         after = new.dependencies if new is not None else ()
@@ -60,7 +60,7 @@
             self._priorities.clear()
             self._cancel_dependents(job_id)
 
-    def settle(self, job_id: str, final: FinishedJob) -> bool:
+    def note_finished(self, job_id: str, final: FinishedJob) -> bool:
         """Take in how a job ended; False when no live job depends on it."""
         if job_id not in self._dependents:
             return False
@@ -103,12 +103,12 @@
 
     # Questions
 
-    def fate(self, job: Job) -> DependencyOutcome:
+    def outcome(self, job: Job) -> DependencyOutcome:
         """What a live job's dependencies mean for it."""
         if not job.dependencies:
             return DependencyOutcome.READY
         if job.id in self._to_cancel:
-            return DependencyOutcome.DOOMED
+            return DependencyOutcome.CANCELLED
         unfinished = [name for name in job.dependencies if name not in self._finished]
         if not unfinished:
             return DependencyOutcome.READY
@@ -118,9 +118,9 @@
 
     def ready(self, job: Job) -> bool:
         """Whether all dependencies of a live job are known to be done."""
-        return not job.dependencies or self.fate(job) is DependencyOutcome.READY
+        return not job.dependencies or self.outcome(job) is DependencyOutcome.READY
 
-    def settled(self, name: str) -> FinishedJob | None:
+    def finished_job(self, name: str) -> FinishedJob | None:
         """How a job that live ones depend on ended, if that is known."""
         return self._finished.get(name)
 
@@ -139,7 +139,7 @@
             if name not in self._finished and name not in self._jobs
         ]
 
-    def uncertain(self, job: Job) -> list[str]:
+    def unresolved_dependencies(self, job: Job) -> list[str]:
         """The unresolved ones among a job's direct and indirect dependencies.
 
         The job's own outcome is certain only when all of these have been read.
@@ -164,7 +164,7 @@
             if job is not None:
                 yield job
 
-    def since(self, job: Job) -> float:
+    def ready_since(self, job: Job) -> float:
         """The time of day from which a ready job's waiting time counts, in seconds.
 
         That is when it was submitted or when the last of its dependencies was done, whichever is
@@ -175,7 +175,9 @@
         times += [final.at for final in finished_jobs if final is not None and final.at is not None]
         return max(times)
 
-    def outlook(self, job: Job, stage_s: Callable[[JobSpec], float]) -> SchedulingPriority:
+    def scheduling_priority(
+        self, job: Job, stage_s: Callable[[JobSpec], float]
+    ) -> SchedulingPriority:
         """The priority and due time of a job, with those inherited from its dependents.
 
         `stage_s`: how long a job takes once it may start, in seconds.
--- a/src/sandladder/model/jobs.py
+++ b/src/sandladder/model/jobs.py
@@ -45,7 +45,7 @@
     """
 
     id: str
-    cls: str
+    job_class: str
     team: str
     kind: str
     priority: int
@@ -171,7 +171,7 @@
     done: int
     at: float | None = None
     version: int = 0
-    filed: bool = True
+    archived: bool = True
 
 
 def zones_allowed(spec: JobSpec, zones: list[str]) -> bool:
--- a/src/sandladder/model/machines.py
+++ b/src/sandladder/model/machines.py
@@ -105,7 +105,7 @@
     type: str
     zone: str
     spot: bool
-    session: int
+    agent_epoch: int
     age_s: float
     notice_s: float | None = None
     errors: int = 0
@@ -124,7 +124,7 @@
         process: tells the processes of one controller apart.
     """
 
-    term: int
+    fencing_token: int
     up_s: float
     revision: int
     machines: dict[str, MachineStatus] = {}
--- a/src/sandladder/model/membership.py
+++ b/src/sandladder/model/membership.py
@@ -12,7 +12,7 @@
     """
 
     node: str
-    term: int
+    incarnation: int
 
 
 # States of a member.  Suspected, it may still refute that; out, its teams went to others.
@@ -31,8 +31,8 @@
         why: the reason for its state, for people.
     """
 
-    term: int
-    refuted: int
+    incarnation: int
+    refutations: int
     state: str
     since: float
     flaps: int
--- a/src/sandladder/model/quota.py
+++ b/src/sandladder/model/quota.py
@@ -37,7 +37,7 @@
     cpus: float | None = None
     gpus: float | None = None
 
-    def less(self, usage: TeamUsage) -> "Headroom":
+    def minus(self, usage: TeamUsage) -> "Headroom":
         """What is left once so much more is used."""
         return Headroom(
             None if self.cpus is None else self.cpus - usage.cpus,
@@ -48,7 +48,7 @@
         """Whether so many more tasks of a job may run."""
         return all(tasks * need <= left + EPSILON for left, need in self._limited(spec))
 
-    def tasks(self, spec: JobSpec, wanted: int) -> int:
+    def tasks_within(self, spec: JobSpec, wanted: int) -> int:
         """How many of the wanted tasks of a job may run."""
         for left, need in self._limited(spec):
             wanted = min(wanted, int((left + EPSILON) / need))
@@ -63,17 +63,17 @@
 
 
 # For a team that the settings do not name: nothing of it may start.
-NOTHING = Headroom(0.0, 0.0)
+NO_HEADROOM = Headroom(0.0, 0.0)
 
 
 def headroom(limits: TeamLimits | None, usage: TeamUsage) -> Headroom:
     """What is left under a team's limits; nothing for a team without settings (fails closed)."""
     if limits is None:
-        return NOTHING
-    return Headroom(limits.cpus_max or None, limits.gpus_max or None).less(usage)
+        return NO_HEADROOM
+    return Headroom(limits.cpus_max or None, limits.gpus_max or None).minus(usage)
 
 
-def nearly_used_up(limits: TeamLimits | None, usage: TeamUsage, share: float) -> bool:
+def nearly_exhausted(limits: TeamLimits | None, usage: TeamUsage, share: float) -> bool:
     """Whether less than this share of some limit of a team is left."""
     if limits is None:
         return True
--- a/src/sandladder/peers/heartbeats.py
+++ b/src/sandladder/peers/heartbeats.py
@@ -122,7 +122,7 @@
             self._lease.alive() and self._status.store_reachable(),
             self._write_rate.demand,
             SCHEMA_V2,
-            incarnation=membership.own.term if membership.own else 0,
+            incarnation=membership.own.incarnation if membership.own else 0,
             fencing_token=self._status.fencing_token(),
             late_s=round(membership.detector.late_s, 3),
             agents=self._status.agents(now),
--- a/src/sandladder/peers/peer_service.py
+++ b/src/sandladder/peers/peer_service.py
@@ -5,7 +5,7 @@
 from random import Random
 
 from sandladder.concurrency import BackgroundTasks
-from sandladder.config import Peer
+from sandladder.config import PeerAddress
 from sandladder.membership import MembershipService
 from sandladder.model import SCHEMA_V1, Attempt, EndedAttempt
 from sandladder.peers.heartbeats import HeartbeatExchange
@@ -44,7 +44,7 @@
         *,
         node: str,
         process: int,
-        peers: Sequence[Peer],
+        peers: Sequence[PeerAddress],
         heartbeat_interval_s: float,
         response_timeout_s: float,
         rng: Random,
@@ -99,7 +99,7 @@
         """The controllers that take part."""
         return self._teams.live_nodes()
 
-    def places(self, team: str) -> bool:
+    def is_assigned(self, team: str) -> bool:
         """Whether starts of this team are this process's to commit now."""
         return self._teams.is_assigned(team)
 
@@ -107,11 +107,11 @@
         """The controller that should learn of what concerns a team."""
         return self._teams.assignee(team)
 
-    def older(self) -> set[str]:
+    def outdated_peers(self) -> set[str]:
         """The controllers that send heartbeats and understand only the first schema."""
         return self._heartbeats.outdated_peers()
 
-    def abler(self, schema_version: int = SCHEMA_V1) -> str | None:
+    def find_serving_peer(self, schema_version: int = SCHEMA_V1) -> str | None:
         """A peer that reaches the state service and understands this schema, if there is any."""
         serving = [
             node
@@ -140,7 +140,7 @@
             if node in nodes:
                 connection.send(ChangeNotice(self._cache.revision))
 
-    async def relay(self, request: Request, peer: str) -> Response:
+    async def forward(self, request: Request, peer: str) -> Response:
         """Have a peer serve a user's request, and wait for its response.
 
         `BUSY` if none has come in time.  Then, or cancelled, the peer may have served the request
@@ -161,7 +161,7 @@
                 if name != node:
                     connection.flush()
 
-    def handle(self, message: Message) -> None:
+    def receive(self, message: Message) -> None:
         """Take in a peer's message; a forwarded request is served in the background."""
         match message:
             case PeerHeartbeat():
--- a/src/sandladder/peers/request_forwarder.py
+++ b/src/sandladder/peers/request_forwarder.py
@@ -5,14 +5,14 @@
 import anyio
 
 from sandladder.concurrency import BackgroundTasks
-from sandladder.protocol import wire
+from sandladder.protocol import job_messages
 from sandladder.transport import ForwardedRequest, ForwardedResponse, Request, Response
 
 # How many bits of a forwarded request's number count the requests; the rest identify the process.
 _COUNTER_BITS = 20
 
 # The response when a request cannot be taken: come back soon.
-BUSY = Response(503, wire.error_body("cannot be taken now"), 1)
+BUSY = Response(503, job_messages.error_body("cannot be taken now"), 1)
 
 
 class PendingResponse:
@@ -20,7 +20,7 @@
 
     def __init__(self) -> None:
         self.arrived = anyio.Event()
-        self.answer: Response | None = None
+        self.response: Response | None = None
 
 
 class RequestForwarder:
@@ -73,7 +73,7 @@
                 await pending.arrived.wait()
         finally:
             self.pending.pop(number, None)
-        return pending.answer or BUSY
+        return pending.response or BUSY
 
     def receive_request(self, request: ForwardedRequest) -> None:
         """Serve a peer's request in the background; one that comes too early is dropped."""
@@ -84,7 +84,7 @@
         """Take in a peer's response; one that nobody waits for any more is dropped."""
         pending = self.pending.pop(response.number, None)
         if pending is not None:
-            pending.answer = Response(response.status, response.body, response.retry_after)
+            pending.response = Response(response.status, response.body, response.retry_after)
             pending.arrived.set()
 
     async def _respond(self, request: ForwardedRequest) -> None:
--- a/src/sandladder/peers/team_directory.py
+++ b/src/sandladder/peers/team_directory.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Sequence
 
-from sandladder.membership import MembershipService, may_place
+from sandladder.membership import MembershipService, may_schedule
 from sandladder.model import SCHEMA_V1
 from sandladder.state import StateCache
 
@@ -50,7 +50,7 @@
         """Whether starts of this team are this process's to commit now."""
         if self._cache.schema_version == SCHEMA_V1:
             return self._ring_assignee(team) == self._node
-        return may_place(self._cache, team, self._membership.own)
+        return may_schedule(self._cache, team, self._membership.own)
 
     def assignee(self, team: str) -> str:
         """The controller that should learn of what concerns a team."""
--- a/src/sandladder/peers/write_rate.py
+++ b/src/sandladder/peers/write_rate.py
@@ -48,6 +48,6 @@
         for node, changes in peers:
             if changes is not None:
                 total += idle + changes
-            elif node in self._cache.nodes:
+            elif node in self._cache.inventories:
                 total += own  # it lives, and its demand is unknown: it may need as much
         self._store.writes.share = own / total
--- a/src/sandladder/protocol/agent_messages.py
+++ b/src/sandladder/protocol/agent_messages.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from sandladder.model import AgentHeartbeat, Command, ReportedTask
+from sandladder.model import AgentHeartbeat, Command, TaskStatus
 from sandladder.protocol.codec import (
     MalformedMessageError,
     dumps,
@@ -39,7 +39,7 @@
     return f"{job}/{task}"
 
 
-def _reported_task(raw: Any) -> ReportedTask:
+def _reported_task(raw: Any) -> TaskStatus:
     if not isinstance(raw, dict):
         raise MalformedMessageError("maps are needed", "entries")
     job, _, task = read_text(raw, "entry").partition("/")
@@ -51,7 +51,7 @@
     cause = ""
     if state == "exited":
         cause = _EXIT_CAUSES.get(str(raw.get("cause")), "error")
-    return ReportedTask(
+    return TaskStatus(
         job, int(task), read_count(raw, "try"), state, cause, raw.get("saved") is True
     )
 
@@ -78,13 +78,13 @@
         type=read_text(raw, "breed"),
         zone=read_text(raw, "district"),
         spot=raw.get("loaners") is True,
-        session=read_count(raw, "shift"),
-        seq=read_count(raw, "tally"),
-        token=read_count(raw, "seal"),
+        agent_epoch=read_count(raw, "shift"),
+        sequence_number=read_count(raw, "tally"),
+        fencing_token=read_count(raw, "seal"),
         notice_s=(
             None if raw.get("recall_s") is None else read_number(raw, "recall_s", _LEAST_NOTICE_S)
         ),
-        entries=tuple(_reported_task(task) for task in tasks),
+        tasks=tuple(_reported_task(task) for task in tasks),
     )
 
 
@@ -98,11 +98,11 @@
     items = []
     for command in commands:
         item: dict[str, Any] = {
-            "verb": _VERBS[command.op],
+            "verb": _VERBS[command.operation],
             "entry": task_name(command.job, command.task),
             "try": command.attempt,
         }
-        if command.op == "stop":
+        if command.operation == "stop":
             item["mercy_s"] = command.grace_s
         items.append(item)
     return {"seal": token, "orders": items}
--- a/src/sandladder/protocol/job_messages.py
+++ b/src/sandladder/protocol/job_messages.py
@@ -58,7 +58,7 @@
         raise MalformedMessageError("must be above 0", "vcpus")
     spec = JobSpec(
         id=raw["id"],
-        cls=read_text(raw, "docket"),
+        job_class=read_text(raw, "docket"),
         team=read_text(raw, "bureau"),
         kind=read_word(raw, "form", _KINDS),
         priority=read_word(raw, "rank", _PRIORITIES),
--- a/src/sandladder/scheduling/__init__.py
+++ b/src/sandladder/scheduling/__init__.py
@@ -10,16 +10,16 @@
 decision is final: what is committed is up to `sandladder.jobs`.
 """
 
-from sandladder.scheduling.bin_packing import Backlog, Bin, Shortage, ZoneShares, fill
+from sandladder.scheduling.bin_packing import Backlog, Bin, Shortage, ZoneQuota, pack
 from sandladder.scheduling.cluster_view import ClusterView
 from sandladder.scheduling.free_capacity import (
     FreeCapacity,
     MachineOffer,
     PlacementRequirements,
-    allowed,
-    likeness,
+    machine_allowed,
+    placement_requirements,
 )
-from sandladder.scheduling.free_capacity_index import SICK_ERRORS
+from sandladder.scheduling.free_capacity_index import UNHEALTHY_FAILURES
 from sandladder.scheduling.gate import Gate, Verdict
 from sandladder.scheduling.machine_observations import MachineDeparture, MachineObservation
 from sandladder.scheduling.machine_selection import MachineSelector
@@ -48,12 +48,12 @@
     "PremiseKind",
     "Reservation",
     "Resource",
-    "SICK_ERRORS",
+    "UNHEALTHY_FAILURES",
     "Shortage",
     "Verdict",
     "WaitingTask",
-    "ZoneShares",
-    "allowed",
-    "fill",
-    "likeness",
+    "ZoneQuota",
+    "machine_allowed",
+    "pack",
+    "placement_requirements",
 ]
--- a/src/sandladder/scheduling/bin_packing.py
+++ b/src/sandladder/scheduling/bin_packing.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from sandladder.model import EPSILON, Job, JobSpec, MachineType
-from sandladder.scheduling.free_capacity import MachineOffer, allowed, machine_offer
+from sandladder.scheduling.free_capacity import MachineOffer, machine_allowed, machine_offer
 
 
 class Bin:
@@ -21,7 +21,7 @@
         self.offer = machine_offer(kind.name, zone, spot)
         self.cpus, self.gpus, self.memory_gb = kind.cpus, kind.gpus, kind.memory_gb
 
-    def tasks(self, spec: JobSpec, most: int, keep_gpus: bool = False) -> int:
+    def tasks_that_fit(self, spec: JobSpec, most: int, keep_gpus: bool = False) -> int:
         """How many tasks of a job fit.
 
         Args:
@@ -43,7 +43,7 @@
 
     def take(self, spec: JobSpec, most: int, keep_gpus: bool = False) -> int:
         """Put in as many tasks as fit, as in `tasks`; how many it were."""
-        number = self.tasks(spec, most, keep_gpus)
+        number = self.tasks_that_fit(spec, most, keep_gpus)
         if number > 0:
             self.cpus -= number * spec.cpus
             self.gpus -= number * spec.gpus
@@ -51,7 +51,7 @@
         return number
 
 
-class ZoneShares:
+class ZoneQuota:
     """How many more tasks of a job each zone may take."""
 
     def __init__(self, most: int, zone_counts: Counter[str], only: str | None = None) -> None:
@@ -61,13 +61,13 @@
         self._only = only
 
     @staticmethod
-    def of(job: Job) -> "ZoneShares | None":
+    def of(job: Job) -> "ZoneQuota | None":
         """For the waiting tasks of a job; None when any zone will do."""
         zone_counts = Counter(attempt.zone for attempt in job.live.values())
         if job.spec.spread:
-            return ZoneShares((job.spec.tasks + 1) // 2, zone_counts)
+            return ZoneQuota((job.spec.tasks + 1) // 2, zone_counts)
         if job.spec.one_zone and zone_counts:
-            return ZoneShares(job.spec.tasks, zone_counts, next(iter(zone_counts)))
+            return ZoneQuota(job.spec.tasks, zone_counts, next(iter(zone_counts)))
         return None
 
     def left(self, zone: str) -> int:
@@ -85,9 +85,9 @@
     """Tasks for which there is no capacity."""
 
     spec: JobSpec
-    any_kind: bool  # they are worth an ordinary machine
-    number: int
-    zones: ZoneShares | None = None  # where they may be, if not anywhere
+    ordinary_allowed: bool  # they are worth an ordinary machine
+    tasks: int
+    zones: ZoneQuota | None = None  # where they may be, if not anywhere
 
 
 class Backlog:
@@ -103,12 +103,12 @@
         self.gpu_s += tasks * spec.gpus * seconds
 
 
-def fill(
+def pack(
     spec: JobSpec,
     count: int,
     bins: list[Bin],
     can_wait_for_boot: bool = False,
-    zones: ZoneShares | None = None,
+    zones: ZoneQuota | None = None,
     keep_gpus: bool = False,
 ) -> int:
     """Put tasks of a job into the first bins that they fit.
@@ -136,7 +136,7 @@
         offer = found.offer
         is_allowed = offers_allowed.get(offer)
         if is_allowed is None:
-            is_allowed = allowed(spec, offer) and (offer.spot or not can_wait_for_boot)
+            is_allowed = machine_allowed(spec, offer) and (offer.spot or not can_wait_for_boot)
             offers_allowed[offer] = is_allowed
         if is_allowed:
             most = left if zones is None else min(left, zones.left(offer.zone))
--- a/src/sandladder/scheduling/candidates.py
+++ b/src/sandladder/scheduling/candidates.py
@@ -5,8 +5,8 @@
 from sandladder.scheduling.free_capacity import (
     FreeCapacity,
     PlacementRequirements,
-    allowed,
-    likeness,
+    machine_allowed,
+    placement_requirements,
 )
 from sandladder.scheduling.reservation import Reservation
 
@@ -18,12 +18,14 @@
         self._spec = job.spec
         self._waits_for_spot = cluster_view.can_wait_for_boot(job)
         self._keeps_gpus_free = cluster_view.gpu_protection.keeps_gpus_free(job)
-        self._types = cluster_view.cache.types
+        self._types = cluster_view.cache.machine_types
         self.capacities: dict[str, FreeCapacity] = {}
 
     def update(self, capacity: FreeCapacity) -> None:
         """Take in what is free on a machine now."""
-        if not allowed(self._spec, capacity) or (self._waits_for_spot and not capacity.spot):
+        if not machine_allowed(self._spec, capacity) or (
+            self._waits_for_spot and not capacity.spot
+        ):
             return
         if self._keeps_gpus_free:
             capacity = capacity.without_gpu_share(self._types[capacity.type])
@@ -50,7 +52,7 @@
     def of(self, job: Job) -> dict[str, FreeCapacity]:
         """The machines that can take a task of a job, with what is free for it there."""
         cluster_view = self._cluster_view
-        requirements = likeness(job.spec, cluster_view.can_wait_for_boot(job))
+        requirements = placement_requirements(job.spec, cluster_view.can_wait_for_boot(job))
         key = requirements, cluster_view.gpu_protection.keeps_gpus_free(job)
         candidates = self._candidates.get(key)
         if candidates is None:
--- a/src/sandladder/scheduling/cluster_view.py
+++ b/src/sandladder/scheduling/cluster_view.py
@@ -32,7 +32,7 @@
 from sandladder.scheduling.machine_observations import MachineObservation, MachineObservations
 from sandladder.scheduling.premises import Resource
 from sandladder.scheduling.view_time import ViewTime
-from sandladder.state import JOB, TEAM, StateCache
+from sandladder.state import JOB_PREFIX, TEAM_PREFIX, StateCache
 
 # Who goes first: priority (negated), 0 within the guarantee or else 1, latest start.  A plain
 # tuple, as these sort in half the time that a named one takes.
@@ -58,7 +58,7 @@
         self.reconciler = reconciler
         self.lease_expiry = lease_expiry
         self.gate = gate
-        self.limits = {team.name: team for team in settings.platform.deployment.teams}
+        self.team_limits = {team.name: team for team in settings.platform.deployment.teams}
         self.time = ViewTime()
         self.images = ImageCacheIndex()
         self.observations = MachineObservations(settings, cache, self.time)
@@ -73,14 +73,14 @@
         self._machine_versions: dict[str, int] = {}
         gate.on_pending_changed = self.free_capacities.pending_starts_changed
         # Bound, not wrapped: asked for each machine or job in each round of planning and scaling.
-        self.capacity = self.free_capacities.of
-        self.usable_capacities = self.free_capacities.usable
-        self.services = self.free_capacities.service_cpus
+        self.free_capacity = self.free_capacities.of
+        self.usable_free_capacities = self.free_capacities.usable
+        self.service_cpus = self.free_capacities.service_cpus
         self.avoids_gpus = self.gpu_protection.avoids_gpus
         self.observation = self.observations.get
         self.age_s = self.observations.age_s
-        self.outlook = self.priorities.scheduling_priority
-        self.since = self.priorities.waiting_since
+        self.scheduling_priority = self.priorities.scheduling_priority
+        self.waiting_since = self.priorities.waiting_since
         self.can_wait_for_boot = self.priorities.can_wait_for_boot
 
     # Time
@@ -95,35 +95,35 @@
         self.time.now = now
 
     @property
-    def ahead(self) -> float:
+    def wall_offset_s(self) -> float:
         """How far the time of day is ahead of the steady clock, in seconds."""
-        return self.time.ahead
+        return self.time.wall_offset_s
 
-    @ahead.setter
-    def ahead(self, ahead: float) -> None:
-        self.time.ahead = ahead
+    @wall_offset_s.setter
+    def wall_offset_s(self, ahead: float) -> None:
+        self.time.wall_offset_s = ahead
 
     @property
-    def wall(self) -> float:
+    def wall_time(self) -> float:
         """The time of day, in seconds."""
-        return self.time.wall
+        return self.time.wall_time
 
     # Machines
 
-    def heard(self, agent: AgentSession) -> None:
+    def record_heartbeat(self, agent: AgentSession) -> None:
         """Take in a heartbeat that an agent sent to this controller."""
-        self._record(agent.report.machine, self.observations.of_heartbeat(agent))
+        self._record(agent.heartbeat.machine, self.observations.of_heartbeat(agent))
 
-    def observe(self) -> None:
+    def record_inventories(self) -> None:
         """Take in the machine inventories that are new."""
-        for node, inventory, observed_at in self.lease_expiry.statements():
+        for node, inventory, observed_at in self.lease_expiry.peer_inventories():
             if self._inventories.get(node) is inventory:
                 continue
             self._inventories[node] = inventory
             for machine, status in inventory.machines.items():
                 self._record(machine, MachineObservation(status, node, observed_at - status.age_s))
 
-    def tell(self, node: str, machine: str, seen: MachineStatus) -> None:
+    def record_peer_status(self, node: str, machine: str, seen: MachineStatus) -> None:
         """Take in what another controller's message says of a machine."""
         self._record(machine, MachineObservation(seen, node, self.now - seen.age_s))
 
@@ -131,20 +131,20 @@
         kept = self.observations.record(machine, new)
         if kept is not None:
             self.free_capacities.observation_changed(machine)
-            self.images.note_inventory(machine, kept.seen.images)
+            self.images.note_inventory(machine, kept.status.images)
 
     def machines(self) -> KeysView[str]:
         """All machines that were observed lately."""
         return self.observations.machines()
 
-    def forget(self) -> None:
+    def forget_missing(self) -> None:
         """Drop what is known of machines and jobs that are gone."""
         for machine in self.observations.forget_missing():
             self.free_capacities.observation_changed(machine)
         known = (
             self.observations.machines()
             | self.cache.instances.keys()
-            | self.cache.on_machine.keys()
+            | self.cache.attempts_by_machine.keys()
         )
         self.images.keep(known)
         self.free_capacities.forget_missing(known)
@@ -154,20 +154,20 @@
 
     # Free capacity
 
-    def freed(self, machine: str) -> bool:
+    def is_idle(self, machine: str) -> bool:
         """Whether nothing runs on a machine any more, committed or not."""
         return self.free_capacities.is_idle(machine)
 
-    def touch(self, machine: str) -> None:
+    def machine_changed(self, machine: str) -> None:
         """What runs on a machine changed, or whether it can be given work."""
         self._machine_versions[machine] = self._machine_versions.get(machine, 0) + 1
         self.free_capacities.machine_changed(machine)
 
-    def recount(self) -> None:
+    def types_changed(self) -> None:
         """The machine types changed."""
         self.free_capacities.types_changed()
 
-    def relist(self) -> None:
+    def instances_changed(self) -> None:
         """The records of the cloud's instances changed."""
         self.free_capacities.instances_changed()
 
@@ -176,17 +176,17 @@
         self.gpu_protection.note_start(spec.id)
         known = self.cache.instances.get(attempt.machine)
         observation = self.observations.get(attempt.machine)
-        name = observation.seen.type if observation else known.type if known else ""
-        kind = self.cache.types.get(name)
+        name = observation.status.type if observation else known.type if known else ""
+        kind = self.cache.machine_types.get(name)
         if kind is not None:
             self.images.note_start(spec, attempt, kind, self.now)
 
-    def note_over(self, item: EndedAttempt) -> None:
+    def note_ended(self, item: EndedAttempt) -> None:
         """An attempt has surely ended: what it used is free before that is committed."""
         if self.free_capacities.note_ended(item):
-            self.touch(item.attempt.machine)
+            self.machine_changed(item.attempt.machine)
 
-    def doubt(self, machine: str, for_s: float) -> None:
+    def avoid_machine(self, machine: str, for_s: float) -> None:
         """Give a machine no work for so long: it refused a start that should have fitted.
 
         Something is there that we do not know of.  Seen in a measured day: the same machine was
@@ -194,7 +194,7 @@
         """
         self.free_capacities.avoid_machine(machine, self.now + for_s)
 
-    def doubt_controllers(self, reporting_controllers: frozenset[str]) -> None:
+    def avoid_controllers(self, reporting_controllers: frozenset[str]) -> None:
         """Give no work to machines that report to these, and only these, controllers.
 
         They are unreachable, or cannot learn what is to start.  Seen in a measured day: for the
@@ -204,13 +204,13 @@
         changed = self.free_capacities.avoid_controllers(reporting_controllers)
         if changed:
             for machine in self.observations.reported_to(changed):
-                self.touch(machine)
+                self.machine_changed(machine)
 
     # Images
 
     def fetch_wait_s(self, spec: JobSpec, placement: Placement) -> float:
         """How long a placed task still waits for its image, in seconds."""
-        wait = self.images.wait_s(placement.machine, placement.session, spec.image, self.now)
+        wait = self.images.wait_s(placement.machine, placement.agent_epoch, spec.image, self.now)
         return 0.0 if wait is None else wait
 
     def fetch_s(self, spec: JobSpec, capacity: FreeCapacity) -> float:
@@ -219,9 +219,9 @@
         if wait is not None:
             return wait
         observation = self.observations.get(capacity.id)
-        if observation is not None and spec.image in observation.seen.images:
+        if observation is not None and spec.image in observation.status.images:
             return 0.0
-        kind = self.cache.types[capacity.type]
+        kind = self.cache.machine_types[capacity.type]
         return spec.image_gb / max(kind.fetch_gb_per_s, 1e-6)
 
     # Jobs and teams
@@ -233,14 +233,14 @@
     def order_key(self, job: Job) -> OrderKey:
         """Who goes first: priority, then teams within their guarantee, then the most urgent."""
         spec = job.spec
-        usage = self.cache.used.get(spec.team, NO_USAGE)
-        within = within_guarantee(self.limits.get(spec.team), usage, spec)
+        usage = self.cache.usage.get(spec.team, NO_USAGE)
+        within = within_guarantee(self.team_limits.get(spec.team), usage, spec)
         priority = self.priorities.scheduling_priority(job).priority
         return -priority, 0 if within else 1, self.priorities.latest_start(job)
 
-    def team_left(self, team: str) -> Headroom:
+    def team_headroom(self, team: str) -> Headroom:
         """What the live attempts of a team leave under its limits."""
-        return headroom(self.limits.get(team), self.cache.used.get(team, NO_USAGE))
+        return headroom(self.team_limits.get(team), self.cache.usage.get(team, NO_USAGE))
 
     # Evidence (see `premises.Evidence`), with `capacity` and `team_left`
 
@@ -250,7 +250,7 @@
 
     def finished_job(self, job_id: str) -> FinishedJob | None:
         """What became of a job on which live ones depend, if that is known."""
-        return self.cache.dependency_index.settled(job_id)
+        return self.cache.dependency_index.finished_job(job_id)
 
     def version(self, resource: Resource) -> int:
         """A number that differs once something about a resource has changed."""
@@ -258,5 +258,5 @@
         if kind == "machine":
             return self._machine_versions.get(name, 0)
         if kind == "team":
-            return self.cache.version(TEAM + name)
-        return self.cache.version(JOB + name.partition("/")[0])
+            return self.cache.version(TEAM_PREFIX + name)
+        return self.cache.version(JOB_PREFIX + name.partition("/")[0])
--- a/src/sandladder/scheduling/free_capacity.py
+++ b/src/sandladder/scheduling/free_capacity.py
@@ -69,7 +69,7 @@
     can_wait_for_boot: bool
 
 
-def likeness(spec: JobSpec, can_wait_for_boot: bool) -> PlacementRequirements:
+def placement_requirements(spec: JobSpec, can_wait_for_boot: bool) -> PlacementRequirements:
     """What decides which machines can take a task of a job."""
     return PlacementRequirements(
         spec.cpus,
@@ -82,7 +82,7 @@
     )
 
 
-def allowed(spec: JobSpec, machine: FreeCapacity | Machine | MachineOffer) -> bool:
+def machine_allowed(spec: JobSpec, machine: FreeCapacity | Machine | MachineOffer) -> bool:
     """Whether a job's own constraints (types, zone, spot) allow a machine."""
     return (
         (spec.types is None or machine.type in spec.types)
--- a/src/sandladder/scheduling/free_capacity_index.py
+++ b/src/sandladder/scheduling/free_capacity_index.py
@@ -12,7 +12,7 @@
 
 # A machine on which so many different jobs failed in a row is not trusted with more.  One
 # job alone proves nothing: it may fail everywhere.
-SICK_ERRORS = 2
+UNHEALTHY_FAILURES = 2
 # For machines of which nothing was worked out: it was never valid.
 _NOTHING_KNOWN: tuple[FreeCapacity | None, float] = (None, -math.inf)
 
@@ -56,8 +56,8 @@
         observation = self._observations.get(machine)
         if observation is None:
             return None
-        seen = observation.seen
-        kind = self._cache.types.get(seen.type)
+        seen = observation.status
+        kind = self._cache.machine_types.get(seen.type)
         if kind is None:
             return None
         resources = self._resources.get(machine)
@@ -70,7 +70,7 @@
             seen.type,
             seen.zone,
             seen.spot,
-            seen.session,
+            seen.agent_epoch,
             observation.reporting_controller,
             cpus,
             gpus,
@@ -103,7 +103,7 @@
 
     def is_idle(self, machine: str) -> bool:
         """Whether nothing runs on a machine any more, committed or not."""
-        if machine not in self._cache.on_machine:
+        if machine not in self._cache.attempts_by_machine:
             return True
         ended = self.ended.get(machine, set())
         return bool(ended) and all(
@@ -129,11 +129,11 @@
 
     def _usable(self, machine: str, observation: MachineObservation) -> tuple[bool, float]:
         """Whether a machine can be given work, and until when that stays so by itself."""
-        seen = observation.seen
+        seen = observation.status
         listed = self._cache.instances.get(machine)
         sound = (
             seen.notice_s is None
-            and seen.errors < SICK_ERRORS
+            and seen.errors < UNHEALTHY_FAILURES
             and (listed is None or listed.state not in ("draining", "gone"))
             and observation.reporting_controller not in self._avoided_controllers
         )
--- a/src/sandladder/scheduling/gate.py
+++ b/src/sandladder/scheduling/gate.py
@@ -58,7 +58,7 @@
 
     pending_start: PendingStart
     outcome: Outcome
-    reason: PremiseKind | None
+    failed_premise: PremiseKind | None
 
 
 class Gate:
@@ -69,7 +69,7 @@
         self._index = ReverseIndex()
         self.verdicts: Counter[str] = Counter()  # by outcome
         self.checked = 0  # premises
-        self.full_scan = 0  # premises that would have been checked without the index
+        self.full_scan_checks = 0  # premises that would have been checked without the index
         # Called with each machine on which the pending starts changed.
         self.on_pending_changed: Callable[[str], object] = lambda machine: None
 
@@ -93,20 +93,20 @@
         """The pending starts on a machine."""
         return self._index.resting_on(("machine", machine))
 
-    def changed(self, resources: Iterable[Resource], evidence: Evidence) -> list[Verdict]:
+    def revalidate(self, resources: Iterable[Resource], evidence: Evidence) -> list[Verdict]:
         """Check again what these changes reach; a replanned or blocked start is withdrawn."""
         # What its own commit changed must not count against a start: the watch may bring that
         # before the answer comes.  Should the commit fail, it is checked again before the next.
         reached = {
             key: through
             for key, through in self._index.reach(resources).items()
-            if not self.pending[key].under_way
+            if not self.pending[key].commit_in_flight
         }
         verdicts = [
             self._judge(self.pending[key], through, evidence) for key, through in reached.items()
         ]
         if reached:
-            self.full_scan += sum(len(pending.premises) for pending in self.pending.values())
+            self.full_scan_checks += sum(len(pending.premises) for pending in self.pending.values())
         for verdict in verdicts:
             self._withdraw_if_rejected(verdict)
         return verdicts
@@ -121,7 +121,7 @@
             for resource, version in pending_start.read_versions.items()
             if evidence.version(resource) != version
         }
-        self.full_scan += len(pending_start.premises)
+        self.full_scan_checks += len(pending_start.premises)
         verdict = self._judge(pending_start, differing, evidence)
         self._withdraw_if_rejected(verdict)
         return verdict
--- a/src/sandladder/scheduling/gpu_protection.py
+++ b/src/sandladder/scheduling/gpu_protection.py
@@ -26,7 +26,9 @@
         """
         if spec.gpus > 0 or not self._gpus_wanted():
             return False
-        return any(kind.gpus == 0 and kind.fits(spec) for kind in self._cache.types.values())
+        return any(
+            kind.gpus == 0 and kind.fits(spec) for kind in self._cache.machine_types.values()
+        )
 
     def keeps_gpus_free(self, job: Job) -> bool:
         """Whether a job leaves free GPUs what they may need; not once it is starved."""
--- a/src/sandladder/scheduling/image_cache_index.py
+++ b/src/sandladder/scheduling/image_cache_index.py
@@ -32,7 +32,7 @@
         """Record that a task was started on a machine of a type, which fetches its image."""
         machine = attempt.machine
         self._candidates.setdefault(spec.image, {})[machine] = None
-        cached = self._cached.setdefault((machine, attempt.session), OrderedDict())
+        cached = self._cached.setdefault((machine, attempt.agent_epoch), OrderedDict())
         if spec.image in cached:
             cached.move_to_end(spec.image)
             return
--- a/src/sandladder/scheduling/job_priorities.py
+++ b/src/sandladder/scheduling/job_priorities.py
@@ -36,7 +36,9 @@
     def __init__(self, settings: Settings, cache: StateCache, time: ViewTime) -> None:
         self._cache = cache
         self._time = time
-        self._start_within_s = settings.waits  # by class, the objective for the time to start
+        self._start_within_s = (
+            settings.start_objectives_s
+        )  # by class, the objective for the time to start
         workers = settings.platform.deployment.workers
         self._report_s = workers.report_s
         self.aged_s = AGED_LEASES * workers.lease_s
@@ -44,15 +46,15 @@
 
     def scheduling_priority(self, job: Job) -> SchedulingPriority:
         """Its priority and when it is due, with all that depend on it."""
-        return self._cache.dependency_index.outlook(job, self.stage_s)
+        return self._cache.dependency_index.scheduling_priority(job, self.stage_s)
 
     def waiting_since(self, job: Job) -> float:
         """From when its times count."""
-        return self._cache.dependency_index.since(job)
+        return self._cache.dependency_index.ready_since(job)
 
     def waited_s(self, job: Job) -> float:
         """How long a job has waited, in seconds."""
-        return self._time.wall - self.waiting_since(job)
+        return self._time.wall_time - self.waiting_since(job)
 
     def latest_start(self, job: Job) -> float:
         """By when it must start to meet its objectives, or those of jobs that depend on it."""
@@ -67,7 +69,7 @@
         spec = job.spec
         if not spec.spot or spec.kind != ARRAY:
             return False
-        deadline, wall = self._deadline(job), self._time.wall
+        deadline, wall = self._deadline(job), self._time.wall_time
         # Work without any objective would wait for ever where there is no cheaper kind.
         return (
             wall < deadline.waits_for_spot_until
@@ -76,12 +78,14 @@
 
     def boot_s(self, spec: JobSpec) -> float:
         """How long a machine for a job takes to boot, in seconds."""
-        boots = [kind.boot_s for kind in self._cache.types.values() if kind.fits(spec)]
+        boots = [kind.boot_s for kind in self._cache.machine_types.values() if kind.fits(spec)]
         return min(boots, default=0.0)
 
     def least_fetch_s(self, spec: JobSpec) -> float:
         """How long the fetch of a job's image takes at least, in seconds."""
-        rates = [kind.fetch_gb_per_s for kind in self._cache.types.values() if kind.fits(spec)]
+        rates = [
+            kind.fetch_gb_per_s for kind in self._cache.machine_types.values() if kind.fits(spec)
+        ]
         return spec.image_gb / max([1e-6, *rates])
 
     def stage_s(self, spec: JobSpec) -> float:
@@ -99,7 +103,7 @@
         Seen in a measured day: with some hundred jobs waiting, a third of each round of
         planning went into working this out again.
         """
-        priority, types = self.scheduling_priority(job), self._cache.types
+        priority, types = self.scheduling_priority(job), self._cache.machine_types
         known = self._deadlines.get(job.id)
         if (
             known is not None
@@ -109,7 +113,7 @@
         ):
             return known
         spec = job.spec
-        latest = self.waiting_since(job) + self._start_within_s.get(spec.cls, _NO_OBJECTIVE_S)
+        latest = self.waiting_since(job) + self._start_within_s.get(spec.job_class, _NO_OBJECTIVE_S)
         latest = min(latest, priority.due - self.stage_s(spec))
         waits_until = latest - _PATIENCE_BOOTS * self.boot_s(spec)
         deadline = _StartDeadline(job, priority, types, latest, waits_until)
--- a/src/sandladder/scheduling/machine_observations.py
+++ b/src/sandladder/scheduling/machine_observations.py
@@ -14,7 +14,7 @@
 class MachineObservation(NamedTuple):
     """What is known of a machine, from which controller, and as of when."""
 
-    seen: MachineStatus
+    status: MachineStatus
     reporting_controller: str
     at: float  # on the steady clock
 
@@ -36,33 +36,33 @@
         workers = settings.platform.deployment.workers
         # A heartbeat may be a quarter late; past two of them the machine is in doubt.
         self.fresh_s = 2.5 * workers.report_s
-        self.inventory_interval_s = inventory_interval_of(settings)
+        self.inventory_interval_s = inventory_interval_s(settings)
         self.late_s = self.fresh_s + self.inventory_interval_s
         self._forget_after_s = 4 * workers.lease_s
         self._latest: dict[str, MachineObservation] = {}
 
     def of_heartbeat(self, agent: AgentSession) -> MachineObservation:
         """What an agent's last heartbeat to this controller says of its machine."""
-        heartbeat, notice = agent.report, agent.notice_at
+        heartbeat, notice = agent.heartbeat, agent.termination_at
         status = MachineStatus(
             type=heartbeat.type,
             zone=heartbeat.zone,
             spot=heartbeat.spot,
-            session=heartbeat.session,
+            agent_epoch=heartbeat.agent_epoch,
             age_s=0.0,
             notice_s=None if notice is None else notice - self._time.now,
-            errors=len(agent.failed),
+            errors=len(agent.failed_jobs),
         )
-        return MachineObservation(status, self._node, agent.heard_at)
+        return MachineObservation(status, self._node, agent.last_seen_at)
 
     def record(self, machine: str, new: MachineObservation) -> MachineObservation | None:
         """Keep an observation unless a later one is known; what is kept, or None."""
         old = self._latest.get(machine)
         if old is not None:
-            if (new.seen.session, new.at) < (old.seen.session, old.at):
+            if (new.status.agent_epoch, new.at) < (old.status.agent_epoch, old.at):
                 return None
-            if not new.seen.images and new.seen.session == old.seen.session:
-                new = new._replace(seen=new.seen._replace(images=old.seen.images))
+            if not new.status.images and new.status.agent_epoch == old.status.agent_epoch:
+                new = new._replace(status=new.status._replace(images=old.status.images))
         self._latest[machine] = new
         return new
 
@@ -98,7 +98,7 @@
         return [
             machine
             for machine, observation in self._latest.items()
-            if observation.seen.notice_s is not None or machine in draining
+            if observation.status.notice_s is not None or machine in draining
         ]
 
     def departure(self, machine: str) -> MachineDeparture | None:
@@ -107,7 +107,7 @@
         if listed is not None and listed.state == "draining":
             return MachineDeparture.DRAINING
         observation = self._latest.get(machine)
-        if observation is not None and observation.seen.notice_s is not None:
+        if observation is not None and observation.status.notice_s is not None:
             return MachineDeparture.NOTICE
         return None
 
@@ -124,7 +124,7 @@
         return missing
 
 
-def inventory_interval_of(settings: Settings) -> float:
+def inventory_interval_s(settings: Settings) -> float:
     """How often a controller publishes its machine inventory, in seconds.
 
     All inventories together may take a twentieth of the writes that the store accepts.
