--- a/src/sandladder/scheduling/machine_selection.py
+++ b/src/sandladder/scheduling/machine_selection.py
@@ -34,7 +34,7 @@
         self._cluster_view = cluster_view
         self._rng = rng
         # By class, the time within which its tasks should start, in seconds.
-        self.start_within_s = cluster_view.settings.waits
+        self.start_within_s = cluster_view.settings.start_objectives_s
         self.failed_machines: dict[str, set[str]] = {}  # by job, the machines that it failed on
         self.next_change_s = math.inf  # after so long the selection may look different by itself
 
@@ -45,7 +45,7 @@
         is starts earlier than one that waits for the fetch.
         """
         cluster_view, spec = self._cluster_view, job.spec
-        within_s = self.start_within_s.get(spec.cls)
+        within_s = self.start_within_s.get(spec.job_class)
         if within_s is None:
             return None
         waited_s = cluster_view.priorities.waited_s(job)
@@ -96,7 +96,7 @@
             if suits is not None:
                 machines = [capacity for capacity in machines if suits(capacity)]
             machines, suits = _of_one_zone(spec, machines, zones), None
-        cost = PlacementCost(spec, cluster_view, self.start_within_s.get(spec.cls))
+        cost = PlacementCost(spec, cluster_view, self.start_within_s.get(spec.job_class))
         close_fit = cost.close_fit
         if not any(name in capacities for name in cluster_view.images.candidates(spec.image)):
             close_fit += cluster_view.priorities.least_fetch_s(spec)
--- a/src/sandladder/scheduling/placement_cost.py
+++ b/src/sandladder/scheduling/placement_cost.py
@@ -25,7 +25,7 @@
     ) -> None:
         self._spec = spec
         self._cluster_view = cluster_view
-        self._types = cluster_view.cache.types
+        self._types = cluster_view.cache.machine_types
         lease_s = cluster_view.settings.platform.deployment.workers.lease_s
         self._run_s = spec.estimate_s or lease_s
         within_s = math.inf if start_within_s is None else start_within_s
--- a/src/sandladder/scheduling/planner.py
+++ b/src/sandladder/scheduling/planner.py
@@ -30,20 +30,22 @@
 
     def __init__(self, cluster_view: ClusterView, limits: StoreLimits, rng: Random) -> None:
         self.cluster_view = cluster_view
-        self.limits = limits
+        self.store_limits = limits
         self.selector = MachineSelector(cluster_view, rng)
         self.reservation = Reservation(cluster_view)
-        self.avoid = self.selector.failed_machines  # by job, the machines that it failed on
+        self.failed_machines = (
+            self.selector.failed_machines
+        )  # by job, the machines that it failed on
         self.urgent = False  # whether work that must start at once waited in the last round
 
     @property
-    def again_s(self) -> float:
+    def next_change_s(self) -> float:
         """After so long, in seconds, a plan may look different by itself."""
         return self.selector.next_change_s
 
     def most_live(self, spec: JobSpec) -> int:
         """How many tasks of a job may be live, for its record to fit the store."""
-        return min(spec.tasks, self.limits.most_live(len(msgspec.json.encode(spec))))
+        return min(spec.tasks, self.store_limits.most_live_tasks(len(msgspec.json.encode(spec))))
 
     def plan(
         self, owned: Iterable[Job], backing_off: dict[str, float], least: int = LOW
@@ -68,13 +70,13 @@
         planned = self._planned(owned, backing_off, least)
         self.urgent = self._any_urgent(planned)
         pending = _PendingWork(cluster_view.gate)
-        budget = _FULL_COMMITS * self.limits.txn_ops - len(pending.by_job)
+        budget = _FULL_COMMITS * self.store_limits.txn_ops - len(pending.by_job)
         if not planned or budget <= 0:
             return []  # more than can be committed soon would only grow stale
         jobs = self._in_order(planned)
         self.reservation.release_expired(jobs)
         least_cpus = min(job.spec.cpus for job in jobs)
-        candidates = CandidateIndex(cluster_view.usable_capacities(least_cpus), cluster_view)
+        candidates = CandidateIndex(cluster_view.usable_free_capacities(least_cpus), cluster_view)
         reserved = ReservedMachines(self.reservation, candidates, cluster_view)
         admitted: list[PendingStart] = []
         for job, with_image_only in _turns(jobs, cluster_view):
@@ -104,7 +106,7 @@
             for job in owned
             if job.waiting > 0
             and backing_off.get(job.id, 0.0) <= cluster_view.now
-            and cluster_view.outlook(job).priority >= least
+            and cluster_view.scheduling_priority(job).priority >= least
             and ready(job)
         }
 
@@ -113,7 +115,7 @@
         return any(self._is_urgent(jobs[job_id]) for job_id in planned)
 
     def _is_urgent(self, job: Job) -> bool:
-        return self.cluster_view.outlook(job).priority >= HIGH
+        return self.cluster_view.scheduling_priority(job).priority >= HIGH
 
     def _in_order(self, planned: set[str]) -> list[Job]:
         """The planned jobs, and those of other controllers that capacity is kept for, in order.
@@ -141,7 +143,7 @@
     def _reserve(self, job: Job, pending: "_PendingWork") -> None:
         """Reserve machines for a job that found none, unless its team's limit keeps it waiting."""
         usage = pending.usage(job.spec.team)
-        left = self.cluster_view.team_left(job.spec.team).less(usage)
+        left = self.cluster_view.team_headroom(job.spec.team).minus(usage)
         need = job.waiting if job.spec.kind == GANG else 1
         if left.covers(job.spec, need):
             self.reservation.reserve(job)
@@ -179,8 +181,8 @@
         cluster_view, spec = self.cluster_view, job.spec
         if spec.kind == GANG and (job.live or taken):
             return 0
-        left = cluster_view.team_left(spec.team).less(pending.usage(spec.team))
-        most = left.tasks(spec, job.waiting)
+        left = cluster_view.team_headroom(spec.team).minus(pending.usage(spec.team))
+        most = left.tasks_within(spec, job.waiting)
         if spec.kind == GANG:
             if most < job.waiting:
                 return 0
@@ -257,7 +259,7 @@
     Among jobs of one priority, whoever has its image somewhere goes there first: a machine
     serves twice as many short tasks when it need not fetch an image for each.
     """
-    for _, group in groupby(jobs, lambda job: cluster_view.outlook(job).priority):
+    for _, group in groupby(jobs, lambda job: cluster_view.scheduling_priority(job).priority):
         alike = list(group)
         if len({job.spec.image for job in alike}) > 1:
             yield from ((job, True) for job in alike if job.spec.kind != GANG)
--- a/src/sandladder/scheduling/preemption.py
+++ b/src/sandladder/scheduling/preemption.py
@@ -7,7 +7,7 @@
 
 from sandladder.model import GANG, NO_USAGE, PRODUCTION, SERVICE, Job
 from sandladder.scheduling.cluster_view import ClusterView
-from sandladder.scheduling.free_capacity import FreeCapacity, allowed
+from sandladder.scheduling.free_capacity import FreeCapacity, machine_allowed
 from sandladder.scheduling.machine_observations import MachineDeparture
 from sandladder.scheduling.machine_selection import MachineSelector
 from sandladder.scheduling.victim_selection import GRACE, PreemptionVictim, VictimSelector
@@ -29,7 +29,7 @@
         # Running tasks whose stop was decided and waits to be committed, by job and task.
         self._stopping: dict[tuple[str, int], PreemptionVictim] = {}
 
-    def settled(self, victim: PreemptionVictim) -> None:
+    def stop_settled(self, victim: PreemptionVictim) -> None:
         """The stop of a task was committed, or is not needed any more."""
         self._stopping.pop((victim.job, victim.task), None)
 
@@ -46,7 +46,7 @@
         """
         cluster_view = self._cluster_view
         self._expire_claims()
-        if not cluster_view.cache.types:
+        if not cluster_view.cache.machine_types:
             return []
         victims: list[PreemptionVictim] = []
         # Capacity that is to come on a machine counts once (see `_expire_claims`).
@@ -88,27 +88,27 @@
         None if nothing is stopped for it: machines boot in time, it is a gang, or it has no
         such objective.
         """
-        within_s = self._selector.start_within_s.get(job.spec.cls)
+        within_s = self._selector.start_within_s.get(job.spec.job_class)
         if within_s is None or job.spec.kind == GANG:
             return None
-        boot_s = min(kind.boot_s for kind in self._cluster_view.cache.types.values())
+        boot_s = min(kind.boot_s for kind in self._cluster_view.cache.machine_types.values())
         return within_s if within_s < boot_s else None
 
     def _unclaimed(self, job: Job) -> Iterator[int]:
         """The waiting tasks of a job, within its team's limit, for which nothing was done yet."""
         cluster_view, spec = self._cluster_view, job.spec
-        left = cluster_view.team_left(spec.team)
+        left = cluster_view.team_headroom(spec.team)
         for task in job.pending():
             if not left.covers(spec):
                 return
-            left = left.less(NO_USAGE.plus(spec, 1))
+            left = left.minus(NO_USAGE.plus(spec, 1))
             key = job.id, task
             if key not in self._claims and key not in cluster_view.gate.pending:
                 yield task
 
     # Moves
 
-    def moves(self, owned: Iterable[Job]) -> list[PreemptionVictim]:
+    def graceful_evictions(self, owned: Iterable[Job]) -> list[PreemptionVictim]:
         """Replicas to move off machines that are about to leave, once others can take them."""
         cluster_view = self._cluster_view
         leaving = cluster_view.observations.leaving_machines()
@@ -127,7 +127,7 @@
                 if reason is None:
                     continue
                 if capacities is None:
-                    capacities = cluster_view.usable_capacities()
+                    capacities = cluster_view.usable_free_capacities()
                 target = self._target(job, task, capacities)
                 if target is None:
                     continue
@@ -163,7 +163,7 @@
         fitting = {
             name: capacity
             for name, capacity in capacities.items()
-            if allowed(spec, capacity) and capacity.can_take(spec)
+            if machine_allowed(spec, capacity) and capacity.can_take(spec)
         }
         chosen = self._selector.select(spec, fitting, zones, 1)
         return chosen[0] if chosen else None
--- a/src/sandladder/scheduling/premises.py
+++ b/src/sandladder/scheduling/premises.py
@@ -23,7 +23,7 @@
     Placement,
     zones_allowed,
 )
-from sandladder.scheduling.free_capacity import FreeCapacity, allowed
+from sandladder.scheduling.free_capacity import FreeCapacity, machine_allowed
 
 # What a premise rests on: its kind ("machine", "task", "job" or "team") and its name.  A task's
 # name is its job and number, as in "job-000001/0".
@@ -70,7 +70,7 @@
         "reporting_controller",
         "premises",
         "read_versions",
-        "under_way",
+        "commit_in_flight",
     )
 
     def __init__(
@@ -85,7 +85,7 @@
         self.reporting_controller = reporting_controller
         self.premises = _premises(spec, placement, dependencies)
         self.read_versions: dict[Resource, int] = {}  # the versions that were last checked
-        self.under_way = False  # it was let through for a commit whose outcome is not known
+        self.commit_in_flight = False  # it was let through for a commit whose outcome is not known
 
     @property
     def key(self) -> tuple[str, int]:
@@ -108,7 +108,7 @@
 class Evidence(Protocol):
     """The current state, as premises are checked against it."""
 
-    def capacity(self, machine: str) -> FreeCapacity | None:
+    def free_capacity(self, machine: str) -> FreeCapacity | None:
         """What is free on a machine, with all pending starts counted, or None if unknown."""
 
     def job(self, job_id: str) -> Job | None:
@@ -117,7 +117,7 @@
     def finished_job(self, job_id: str) -> FinishedJob | None:
         """What became of a job on which others depend, if that is known."""
 
-    def team_left(self, team: str) -> Headroom:
+    def team_headroom(self, team: str) -> Headroom:
         """What a team's live attempts leave under its limits."""
 
     def version(self, resource: Resource) -> int:
@@ -137,7 +137,7 @@
 
 
 def _fits(pending_start: PendingStart, evidence: Evidence, on: Resource) -> bool:
-    capacity = evidence.capacity(pending_start.placement.machine)
+    capacity = evidence.free_capacity(pending_start.placement.machine)
     if capacity is None:
         return False
     # The evidence counts this pending start as well, so what is left must not be negative.
@@ -145,25 +145,28 @@
 
 
 def _machine_usable(pending_start: PendingStart, evidence: Evidence, on: Resource) -> bool:
-    capacity = evidence.capacity(pending_start.placement.machine)
+    capacity = evidence.free_capacity(pending_start.placement.machine)
     return (
         capacity is not None
         and capacity.usable
-        and capacity.session == pending_start.placement.session
+        and capacity.session == pending_start.placement.agent_epoch
     )
 
 
 def _machine_allowed(pending_start: PendingStart, evidence: Evidence, on: Resource) -> bool:
-    capacity = evidence.capacity(pending_start.placement.machine)
+    capacity = evidence.free_capacity(pending_start.placement.machine)
     if capacity is None:
         raise UnverifiablePremiseError(on)
-    return allowed(pending_start.spec, capacity) and capacity.zone == pending_start.placement.zone
+    return (
+        machine_allowed(pending_start.spec, capacity)
+        and capacity.zone == pending_start.placement.zone
+    )
 
 
 def _same_reporting_controller(
     pending_start: PendingStart, evidence: Evidence, on: Resource
 ) -> bool:
-    capacity = evidence.capacity(pending_start.placement.machine)
+    capacity = evidence.free_capacity(pending_start.placement.machine)
     if capacity is None or capacity.reporting_controller == pending_start.reporting_controller:
         return True
     pending_start.reporting_controller = capacity.reporting_controller
@@ -194,7 +197,7 @@
 
 
 def _under_team_limit(pending_start: PendingStart, evidence: Evidence, on: Resource) -> bool:
-    return evidence.team_left(pending_start.spec.team).covers(pending_start.spec)
+    return evidence.team_headroom(pending_start.spec.team).covers(pending_start.spec)
 
 
 def _dependency_done(pending_start: PendingStart, evidence: Evidence, on: Resource) -> bool:
--- a/src/sandladder/scheduling/reservation.py
+++ b/src/sandladder/scheduling/reservation.py
@@ -14,7 +14,7 @@
 
 from sandladder.model import GANG, HIGH, SERVICE, Job, JobSpec
 from sandladder.scheduling.cluster_view import ClusterView
-from sandladder.scheduling.free_capacity import allowed, count_fitting
+from sandladder.scheduling.free_capacity import count_fitting, machine_allowed
 
 
 class _Place(NamedTuple):
@@ -112,11 +112,13 @@
         """Whether a gang that has not begun is to have its machines before lesser work."""
         if job.spec.kind != GANG or job.live or not job.waiting:
             return False
-        return self._cluster_view.outlook(job).priority >= HIGH
+        return self._cluster_view.scheduling_priority(job).priority >= HIGH
 
     def _takes_most(self, spec: JobSpec) -> bool:
         """Whether two of its tasks fit no machine together."""
-        types = [kind for kind in self._cluster_view.cache.types.values() if kind.fits(spec)]
+        types = [
+            kind for kind in self._cluster_view.cache.machine_types.values() if kind.fits(spec)
+        ]
         return bool(types) and all(
             count_fitting(spec, kind.cpus, kind.gpus, kind.memory_gb) < 2 for kind in types
         )
@@ -137,11 +139,11 @@
         cluster_view = self._cluster_view
         places = []
         for machine in cluster_view.machines():
-            capacity = cluster_view.capacity(machine)
-            if capacity is None or not capacity.usable or not allowed(spec, capacity):
+            capacity = cluster_view.free_capacity(machine)
+            if capacity is None or not capacity.usable or not machine_allowed(spec, capacity):
                 continue
-            kind = cluster_view.cache.types[capacity.type]
-            cpus = kind.cpus - cluster_view.services(machine)
+            kind = cluster_view.cache.machine_types[capacity.type]
+            cpus = kind.cpus - cluster_view.service_cpus(machine)
             tasks = count_fitting(spec, cpus, kind.gpus, kind.memory_gb)
             if tasks > 0:
                 fitting = count_fitting(spec, capacity.cpus, capacity.gpus, capacity.memory_gb)
--- a/src/sandladder/scheduling/victim_selection.py
+++ b/src/sandladder/scheduling/victim_selection.py
@@ -7,7 +7,7 @@
 
 from sandladder.model import ARRAY, Attempt, Job, JobSpec, zones_allowed
 from sandladder.scheduling.cluster_view import ClusterView
-from sandladder.scheduling.free_capacity import FreeCapacity, allowed, fits
+from sandladder.scheduling.free_capacity import FreeCapacity, fits, machine_allowed
 from sandladder.scheduling.machine_observations import MachineDeparture
 from sandladder.scheduling.machine_selection import MachineSelector
 
@@ -77,8 +77,8 @@
         in_time = self._selector.starts_in_time(job)
         waiting_task = WaitingTask(job.id, task)
         best: tuple[float, list[PreemptionVictim]] | None = None
-        for machine, capacity in cluster_view.usable_capacities().items():
-            if machine in emptied or not allowed(spec, capacity):
+        for machine, capacity in cluster_view.usable_free_capacities().items():
+            if machine in emptied or not machine_allowed(spec, capacity):
                 continue
             if not zones_allowed(spec, [*zones, capacity.zone]):
                 continue
--- a/src/sandladder/scheduling/view_time.py
+++ b/src/sandladder/scheduling/view_time.py
@@ -4,13 +4,13 @@
 class ViewTime:
     """A moment that the owner of the cluster view sets before it asks; shared by its parts."""
 
-    __slots__ = ("now", "ahead")
+    __slots__ = ("now", "wall_offset_s")
 
     def __init__(self) -> None:
         self.now = 0.0  # on the steady clock, in seconds
-        self.ahead = 0.0  # how far the time of day is ahead of the steady clock, in seconds
+        self.wall_offset_s = 0.0  # how far the time of day is ahead of the steady clock, in seconds
 
     @property
-    def wall(self) -> float:
+    def wall_time(self) -> float:
         """The time of day, in seconds."""
-        return self.now + self.ahead
+        return self.now + self.wall_offset_s
--- a/src/sandladder/state/__init__.py
+++ b/src/sandladder/state/__init__.py
@@ -12,8 +12,12 @@
 
 from sandladder.state.cache import StateCache
 from sandladder.state.codecs.instances import INSTANCE_RECORD_BYTES, instances_value, read_instances
-from sandladder.state.codecs.inventory import fold_inventory, pack_inventory, unpack_inventory
-from sandladder.state.codecs.jobs import finished_job_value, job_value, load_job, read_finished_job
+from sandladder.state.codecs.inventory import (
+    inventory_values_v1,
+    inventory_values_v2,
+    read_inventory,
+)
+from sandladder.state.codecs.jobs import finished_job_value, job_value, read_finished_job, read_job
 from sandladder.state.codecs.machine_names import machine_number
 from sandladder.state.codecs.schema import schema_version_value
 from sandladder.state.codecs.split_values import split_value, stamp_parts
@@ -30,31 +34,36 @@
     UnknownSchemaVersionError,
 )
 from sandladder.state.group_commit import GroupCommitter
-from sandladder.state.instances import change_instances, put_types
+from sandladder.state.instances import change_instances, put_machine_types
 from sandladder.state.inventory import inventory_changes, put_inventory
 from sandladder.state.keys import (
-    FINAL,
-    INSTANCE,
-    JOB,
-    NODE,
-    RENTER,
-    ROSTER,
+    AUTOSCALER_KEY,
+    FENCING_TOKEN_KEY,
+    FINISHED_JOB_PREFIX,
+    INSTANCE_PREFIX,
+    INVENTORY_PREFIX,
+    JOB_PREFIX,
+    MACHINE_TYPES_KEY,
+    ROSTER_KEY,
     SCHEMA_VERSION_KEY,
-    TEAM,
-    TERM,
-    TYPES,
+    TEAM_PREFIX,
 )
 from sandladder.state.pending_change import (
-    P_HOLD,
-    P_IDLE,
-    P_START,
-    P_USER,
-    P_WORK,
+    PRIORITY_BACKGROUND,
+    PRIORITY_JOB,
+    PRIORITY_LEASE,
+    PRIORITY_REQUEST,
+    PRIORITY_URGENT_START,
     PendingChange,
     Priority,
-    work_priority,
+    job_priority,
+)
+from sandladder.state.schema_changes import (
+    is_store_empty,
+    mark_schema_version,
+    raise_schema_version,
+    retire_controller,
 )
-from sandladder.state.schema_changes import fresh, mark_schema_version, raise_schema_version, retire
 from sandladder.state.schema_migration import ClusterMembers, SchemaMigration
 from sandladder.state.store_client import LeaseRenewal, StoreClient
 from sandladder.state.store_limits import StoreLimits
@@ -66,26 +75,26 @@
     "AdaptiveTokenBucket",
     "ClusterMembers",
     "ConflictError",
-    "FINAL",
+    "FINISHED_JOB_PREFIX",
     "GroupCommitter",
-    "INSTANCE",
+    "INSTANCE_PREFIX",
     "INSTANCE_RECORD_BYTES",
-    "JOB",
+    "JOB_PREFIX",
     "KeyChange",
     "KeyValue",
     "LeaseExpiredError",
     "LeaseRenewal",
-    "NODE",
-    "P_HOLD",
-    "P_IDLE",
-    "P_START",
-    "P_USER",
-    "P_WORK",
+    "INVENTORY_PREFIX",
+    "PRIORITY_LEASE",
+    "PRIORITY_BACKGROUND",
+    "PRIORITY_URGENT_START",
+    "PRIORITY_REQUEST",
+    "PRIORITY_JOB",
     "PendingChange",
     "PreconditionFailedError",
     "Priority",
-    "RENTER",
-    "ROSTER",
+    "AUTOSCALER_KEY",
+    "ROSTER_KEY",
     "SCHEMA_VERSION_KEY",
     "SchemaMigration",
     "StateCache",
@@ -97,9 +106,9 @@
     "StoredEntries",
     "StoredEntry",
     "StoredValue",
-    "TEAM",
-    "TERM",
-    "TYPES",
+    "TEAM_PREFIX",
+    "FENCING_TOKEN_KEY",
+    "MACHINE_TYPES_KEY",
     "Transaction",
     "TransactionTooLargeError",
     "UnknownOutcomeError",
@@ -107,25 +116,25 @@
     "assignment_value",
     "change_instances",
     "finished_job_value",
-    "fold_inventory",
-    "fresh",
+    "inventory_values_v2",
+    "is_store_empty",
     "instances_value",
     "inventory_changes",
     "job_value",
-    "load_job",
+    "read_job",
     "machine_number",
     "mark_schema_version",
-    "pack_inventory",
+    "inventory_values_v1",
     "put_inventory",
-    "put_types",
+    "put_machine_types",
     "raise_schema_version",
     "read_finished_job",
     "read_instances",
     "read_team",
-    "retire",
+    "retire_controller",
     "schema_version_value",
     "split_value",
     "stamp_parts",
-    "unpack_inventory",
-    "work_priority",
+    "read_inventory",
+    "job_priority",
 ]
--- a/src/sandladder/state/batch.py
+++ b/src/sandladder/state/batch.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from sandladder.protocol import wire
+from sandladder.protocol import store_messages
 from sandladder.state.cache import StateCache
 from sandladder.state.entries import KeyChange
 from sandladder.state.errors import PreconditionFailedError
@@ -39,7 +39,7 @@
     @cached_property
     def body(self) -> bytes:
         """The encoded request."""
-        return wire.commit_body(
+        return store_messages.commit_body(
             self.transaction.expected_versions.items(),
             [change for change in self.changes if change.value is not None],
             [change.key for change in self.changes if change.value is None],
--- a/src/sandladder/state/cache/attempt_index.py
+++ b/src/sandladder/state/cache/attempt_index.py
@@ -27,8 +27,8 @@
 
     def _count(self, attempt: Attempt, number: int) -> None:
         epochs = self.epochs.setdefault(attempt.machine, {})
-        epochs[attempt.session] = epochs.get(attempt.session, 0) + number
-        if not epochs[attempt.session]:
-            del epochs[attempt.session]
+        epochs[attempt.agent_epoch] = epochs.get(attempt.agent_epoch, 0) + number
+        if not epochs[attempt.agent_epoch]:
+            del epochs[attempt.agent_epoch]
             if not epochs:
                 del self.epochs[attempt.machine]
--- a/src/sandladder/state/cache/inventories.py
+++ b/src/sandladder/state/cache/inventories.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 from sandladder.model import MachineInventory
-from sandladder.state.codecs.inventory import part_count, unpack_inventory
+from sandladder.state.codecs.inventory import part_count, read_inventory
 
 
 class Inventories:
@@ -29,7 +29,7 @@
         count = part_count(parts[0])
         # Parts arrive one after the other; until the last one the former inventory is kept.
         if all(index in parts for index in range(count)):
-            inventory = unpack_inventory([parts[index] for index in range(count)])
+            inventory = read_inventory([parts[index] for index in range(count)])
             if inventory is not None:
                 self.by_node[node] = inventory
 
--- a/src/sandladder/state/cache/job_tables.py
+++ b/src/sandladder/state/cache/job_tables.py
@@ -13,9 +13,9 @@
     TeamUsage,
 )
 from sandladder.state.cache.attempt_index import AttemptIndex
-from sandladder.state.codecs.jobs import load_job, read_finished_job
+from sandladder.state.codecs.jobs import read_finished_job, read_job
 
-FINALS_KEPT = 4096
+FINISHED_JOBS_KEPT = 4096
 
 
 class JobTables:
@@ -28,11 +28,11 @@
     def __init__(self) -> None:
         self.jobs: dict[str, Job] = {}
         self.dependency_index = DependencyIndex(self.jobs)
-        self.used: dict[str, TeamUsage] = {}  # by team, of its live attempts
+        self.usage: dict[str, TeamUsage] = {}  # by team, of its live attempts
         self._attempts = AttemptIndex()
         # Its dictionaries are shared, so that reading them costs no call.
-        self.on_machine = self._attempts.by_machine
-        self.sessions = self._attempts.epochs
+        self.attempts_by_machine = self._attempts.by_machine
+        self.agent_epochs = self._attempts.epochs
         # The outcomes of the latest finished jobs; and of all whose record stands in the live
         # job's place still.
         self.finished_jobs: OrderedDict[str, FinishedJob] = OrderedDict()
@@ -48,33 +48,33 @@
 
     # Questions
 
-    def final(self, job_id: str) -> FinishedJob | None:
+    def finished_job(self, job_id: str) -> FinishedJob | None:
         """The outcome of a job, or None if it is not finished or no longer in memory."""
         return self.unarchived.get(job_id) or self.finished_jobs.get(job_id)
 
-    def cancels(self, job_id: str) -> bool:
+    def is_cancelled(self, job_id: str) -> bool:
         """Whether a job is certainly cancelled, so that its running tasks are to be stopped."""
         if job_id in self.cancelled or job_id in self._cancelled_by_peers:
             return True
-        finished = self.final(job_id)
+        finished = self.finished_job(job_id)
         return finished is not None and finished.state == CANCELLED
 
     def attempts_on(self, machine: str) -> Iterator[tuple[Job, int, Attempt]]:
         """The committed starts on a machine whose end is not proved."""
-        for job_id, task in self.on_machine.get(machine, ()):
+        for job_id, task in self.attempts_by_machine.get(machine, ()):
             job = self.jobs[job_id]
             yield job, task, job.live[task]
 
     # Changes
 
-    def remember(self, job_id: str, final: FinishedJob) -> None:
+    def add_finished_job(self, job_id: str, final: FinishedJob) -> None:
         """Keep the outcome of a finished job, among the latest such."""
-        self.dependency_index.settle(job_id, final)
+        self.dependency_index.note_finished(job_id, final)
         self.finished_jobs[job_id] = final
-        if len(self.finished_jobs) > FINALS_KEPT:
+        if len(self.finished_jobs) > FINISHED_JOBS_KEPT:
             self.finished_jobs.popitem(last=False)
 
-    def tell(self, job_ids: Iterable[str], now: float) -> list[str]:
+    def add_peer_cancellations(self, job_ids: Iterable[str], now: float) -> list[str]:
         """A peer has read or committed that these jobs are cancelled.
 
         Args:
@@ -84,11 +84,11 @@
         Returns:
             Those of which this was not known.
         """
-        new = [job_id for job_id in job_ids if not self.cancels(job_id)]
+        new = [job_id for job_id in job_ids if not self.is_cancelled(job_id)]
         self._cancelled_by_peers |= dict.fromkeys(new, now)
         return new
 
-    def synced(self, sent: float) -> None:
+    def expire_peer_cancellations(self, sent: float) -> None:
         """The cache holds everything committed before `sent`, on the steady clock.
 
         What peers said before then is among it, or was not so.
@@ -110,7 +110,7 @@
         self.unarchived.pop(job_id, None)
         if finished is not None:
             self.unarchived[job_id] = finished
-            self.remember(job_id, finished)
+            self.add_finished_job(job_id, finished)
 
     def _set_live(self, job_id: str, value: Any) -> None:
         """Replace a live job by its new record, or remove it if the value is None."""
@@ -119,7 +119,7 @@
             new = None
             self.jobs.pop(job_id, None)
         else:
-            new = load_job(value, old.spec if old is not None else None)
+            new = read_job(value, old.spec if old is not None else None)
             self.jobs[job_id] = new
             if old is not None and new.cancelled != old.cancelled:
                 self.changed_machines |= {attempt.machine: None for attempt in new.live.values()}
@@ -139,17 +139,17 @@
         )
         job = new or old
         if job is not None and tasks:
-            usage = self.used.get(job.spec.team, TeamUsage())
-            self.used[job.spec.team] = usage.plus(job.spec, tasks)
+            usage = self.usage.get(job.spec.team, TeamUsage())
+            self.usage[job.spec.team] = usage.plus(job.spec, tasks)
 
     def _update_dependencies(self, job_id: str, old: Job | None, new: Job | None) -> None:
-        self.dependency_index.changed(job_id, old, new)
+        self.dependency_index.update(job_id, old, new)
         if new is None:
             return
         for name in new.dependencies:
-            finished = self.final(name)
+            finished = self.finished_job(name)
             if finished is not None:
-                self.dependency_index.settle(name, finished)
+                self.dependency_index.note_finished(name, finished)
 
     def _update_attempts(
         self, job_id: str, before: dict[int, Attempt], after: dict[int, Attempt]
--- a/src/sandladder/state/cache/record_tables.py
+++ b/src/sandladder/state/cache/record_tables.py
@@ -12,17 +12,17 @@
 from sandladder.state.codecs.schema import read_schema_version
 from sandladder.state.codecs.teams import read_team
 from sandladder.state.keys import (
-    INSTANCE,
-    JOB,
-    NODE,
+    AUTOSCALER_KEY,
+    FENCING_TOKEN_KEY,
+    INSTANCE_PREFIX,
+    INVENTORY_PREFIX,
+    JOB_PREFIX,
+    MACHINE_TYPES_KEY,
     PREFIX_LENGTH,
-    RENTER,
-    ROSTER,
+    ROSTER_KEY,
     SCHEMA_VERSION_KEY,
     SUPPORTED_VERSIONS_KEY,
-    TEAM,
-    TERM,
-    TYPES,
+    TEAM_PREFIX,
     last_component,
 )
 
@@ -38,29 +38,29 @@
         self.teams: dict[str, TeamUsage] = {}  # as schema version 1 records it
         self.assignments: dict[str, TeamAssignment] = {}  # in schema version 2
         self.roster: dict[str, Member] = {}
-        self.types: dict[str, MachineType] = {}
+        self.machine_types: dict[str, MachineType] = {}
         self.autoscaler_node: str | None = None
-        self.term = 0  # the last fencing token that was given out
+        self.fencing_token = 0  # the last fencing token that was given out
         self._inventories = Inventories()
         self._instances = Instances()
         # Their dictionaries are shared, so that reading them costs no call.
-        self.nodes = self._inventories.by_node
+        self.inventories = self._inventories.by_node
         self.instances = self._instances.by_name
         self.instance_chunks = self._instances.chunks
         # How each kind of record is read: a single record by its key, others by their prefix.
         self._single_readers: dict[str, Callable[[Any], None]] = {
             SCHEMA_VERSION_KEY: self._read_schema_version,
             SUPPORTED_VERSIONS_KEY: self._read_supported_versions,
-            ROSTER: self._read_roster,
-            TERM: self._read_fencing_token,
-            RENTER: self._read_autoscaler_node,
-            TYPES: self._read_types,
+            ROSTER_KEY: self._read_roster,
+            FENCING_TOKEN_KEY: self._read_fencing_token,
+            AUTOSCALER_KEY: self._read_autoscaler_node,
+            MACHINE_TYPES_KEY: self._read_types,
         }
         self._prefix_readers: dict[str, Callable[[str, Any], None]] = {
-            JOB: self._read_job,
-            TEAM: self._read_team,
-            NODE: self._read_inventory_part,
-            INSTANCE: self._read_instances,
+            JOB_PREFIX: self._read_job,
+            TEAM_PREFIX: self._read_team,
+            INVENTORY_PREFIX: self._read_inventory_part,
+            INSTANCE_PREFIX: self._read_instances,
         }
 
     def version(self, key: str) -> int:
@@ -90,16 +90,16 @@
         self.roster = read_roster(value)
 
     def _read_fencing_token(self, value: Any) -> None:
-        self.term = int(value or 0)
+        self.fencing_token = int(value or 0)
 
     def _read_autoscaler_node(self, value: Any) -> None:
         self.autoscaler_node = value
 
     def _read_types(self, value: Any) -> None:
-        self.types = read_types(value)
+        self.machine_types = read_types(value)
 
     def _read_inventory_part(self, key: str, value: Any) -> None:
-        node, _, part = key[len(NODE) :].partition("/")
+        node, _, part = key[len(INVENTORY_PREFIX) :].partition("/")
         self._inventories.set_part(node, int(part or 0), value)
 
     def _read_instances(self, key: str, value: Any) -> None:
--- a/src/sandladder/state/cache/state_cache.py
+++ b/src/sandladder/state/cache/state_cache.py
@@ -9,7 +9,12 @@
 from sandladder.state.codecs.jobs import read_finished_job
 from sandladder.state.codecs.split_values import is_split
 from sandladder.state.errors import UnknownSchemaVersionError
-from sandladder.state.keys import CONTINUATION_PREFIX, FINAL, JOB, NODE
+from sandladder.state.keys import (
+    CONTINUATION_PREFIX,
+    FINISHED_JOB_PREFIX,
+    INVENTORY_PREFIX,
+    JOB_PREFIX,
+)
 
 log = logging.getLogger(__name__)
 
@@ -39,12 +44,16 @@
     def unreadable_nodes(self) -> set[str]:
         """Controllers that have an inventory which could never be read."""
         heads = self._inventories.nodes_with_record()
-        heads |= {key[len(NODE) :] for key in self._split.heads if key.startswith(NODE)}
-        return heads - self.nodes.keys()
+        heads |= {
+            key[len(INVENTORY_PREFIX) :]
+            for key in self._split.heads
+            if key.startswith(INVENTORY_PREFIX)
+        }
+        return heads - self.inventories.keys()
 
     def starts_blocked(self, team: str) -> bool:
         """Whether the team's usage cannot be known, so that nothing of it may start."""
-        jobs = (key[len(JOB) :] for key in self.unreadable if key.startswith(JOB))
+        jobs = (key[len(JOB_PREFIX) :] for key in self.unreadable if key.startswith(JOB_PREFIX))
         known = (self.jobs.get(job_id) for job_id in jobs)
         return any(job is None or job.spec.team == team for job in known)
 
@@ -88,7 +97,9 @@
         self._advance(max(revision, self.revision))
         return changed
 
-    def wrote(self, revision: int, changes: Iterable[tuple[str, Any]]) -> dict[str, None]:
+    def apply_own_commit(
+        self, revision: int, changes: Iterable[tuple[str, Any]]
+    ) -> dict[str, None]:
         """Apply a commit of our own, as (key, value) of each change; the keys that changed."""
         changed: dict[str, None] = {}
         for key, value in changes:
@@ -107,7 +118,7 @@
 
     def _set(self, key: str, value: Any, version: int) -> None:
         """Take in the value of one key: a record, or a part of one."""
-        if key.startswith(FINAL):
+        if key.startswith(FINISHED_JOB_PREFIX):
             self._set_archived(key, value, version)
             return
         if value is None:
@@ -127,7 +138,9 @@
         if value is None:
             return
         try:
-            self.remember(key[len(FINAL) :], read_finished_job(value, version))
+            self.add_finished_job(
+                key[len(FINISHED_JOB_PREFIX) :], read_finished_job(value, version)
+            )
         except Exception as error:
             log.error("the record %s cannot be read: %s", key, error)
 
--- a/src/sandladder/state/codecs/inventory.py
+++ b/src/sandladder/state/codecs/inventory.py
@@ -71,12 +71,12 @@
                 image_index.setdefault(image, len(image_index)) for image in status.images[-images:]
             ]
         part.rows.append(row)
-        if status.session != 1 or status.notice_s is not None or status.errors:
-            part.exceptions[index] = (status.session, status.notice_s, status.errors)
+        if status.agent_epoch != 1 or status.notice_s is not None or status.errors:
+            part.exceptions[index] = (status.agent_epoch, status.notice_s, status.errors)
     part.kinds, part.images = list(kinds), list(image_index)
 
 
-def pack_inventory(inventory: MachineInventory, value_bytes: float) -> list[dict[str, Any]]:
+def inventory_values_v1(inventory: MachineInventory, value_bytes: float) -> list[dict[str, Any]]:
     """The inventory's values in schema version 1, each at most `value_bytes` long.
 
     Names of images go first when space is short; then the machines are split over several values,
@@ -110,7 +110,7 @@
     return values
 
 
-def fold_inventory(inventory: MachineInventory, value_bytes: float) -> list[Any]:
+def inventory_values_v2(inventory: MachineInventory, value_bytes: float) -> list[Any]:
     """The inventory's values in schema version 2: as few as possible, then names of images."""
     machines = sorted(inventory.machines.items())
     best: list[Any] = []
@@ -134,7 +134,7 @@
     return count if isinstance(count, int) else 1
 
 
-def unpack_inventory(values: list[dict[str, Any]]) -> MachineInventory | None:
+def read_inventory(values: list[dict[str, Any]]) -> MachineInventory | None:
     """An inventory from its values, or None if they were not written together."""
     if isinstance(values[0].get("p"), str):
         values = [values[0] | {"p": 1}]
--- a/src/sandladder/state/codecs/jobs.py
+++ b/src/sandladder/state/codecs/jobs.py
@@ -66,7 +66,7 @@
     ]
 
 
-def load_job(value: dict[str, Any], spec: JobSpec | None = None) -> Job:
+def read_job(value: dict[str, Any], spec: JobSpec | None = None) -> Job:
     """Read a live job's record; a spec that is known already is not decoded again."""
     if spec is None:
         spec = msgspec.convert(value["s"], JobSpec, strict=False)
--- a/src/sandladder/state/codecs/teams.py
+++ b/src/sandladder/state/codecs/teams.py
@@ -7,7 +7,7 @@
 
 def assignment_value(assignment: TeamAssignment) -> dict[str, Any]:
     """A team's record in schema version 2; what the team uses follows from its jobs' records."""
-    return {"p": assignment.node, "n": assignment.term}
+    return {"p": assignment.node, "n": assignment.incarnation}
 
 
 def usage_value(usage: TeamUsage) -> list[float]:
--- a/src/sandladder/state/group_commit.py
+++ b/src/sandladder/state/group_commit.py
@@ -10,8 +10,8 @@
 
 from sandladder import clock
 from sandladder.concurrency import Signal
-from sandladder.config import LEAST_TXN_OPS
-from sandladder.protocol import wire
+from sandladder.config import MIN_TXN_OPS
+from sandladder.protocol import codec
 from sandladder.state.batch import Batch, BatchBuilder
 from sandladder.state.cache import StateCache
 from sandladder.state.entries import KeyValue
@@ -24,12 +24,12 @@
     TransactionTooLargeError,
     UnknownOutcomeError,
 )
-from sandladder.state.keys import TEAM, key_kind
+from sandladder.state.keys import TEAM_PREFIX, key_kind
 from sandladder.state.pending_change import (
     LAST_PRIORITY,
-    P_HOLD,
-    P_START,
-    P_WORK,
+    PRIORITY_JOB,
+    PRIORITY_LEASE,
+    PRIORITY_URGENT_START,
     PendingChange,
     Priority,
     fair_order,
@@ -111,8 +111,8 @@
         self._shrunk_at = float("-inf")  # when the limits were found smaller
         self.committed = 0
         self.rejected = 0
-        self.wrote: Counter[str] = Counter()
-        self.refused_over: Counter[str] = Counter()
+        self.committed_keys: Counter[str] = Counter()
+        self.conflicting_keys: Counter[str] = Counter()
 
     # The queue
 
@@ -176,14 +176,14 @@
         # While the budget is short, work waits.  What a user or the lease waits for, or work that
         # must start at once, goes alone: should the store reject it, it is soon tried again.
         delay = self._store.writes.delay(self._queue[0].cost)
-        urgent = self._queue[0].priority < P_WORK
+        urgent = self._queue[0].priority < PRIORITY_JOB
         if delay > 0 and not urgent:
             await self._added.wait(delay)
             return
-        batch = self._build(P_START if delay > 0 else LAST_PRIORITY)
+        batch = self._build(PRIORITY_URGENT_START if delay > 0 else LAST_PRIORITY)
         if batch is None:
             return
-        if len(batch.body) > _BODY_SHARE * wire.BODY_LIMIT and len(batch.members) > 1:
+        if len(batch.body) > _BODY_SHARE * codec.BODY_LIMIT and len(batch.members) > 1:
             self._share = max(_LEAST_SHARE_BY_LENGTH, self._share * _SHARE_DECREASE)
             return
         await self._send(batch)
@@ -191,7 +191,7 @@
     def _build(self, last: Priority) -> Batch | None:
         """Gather changes of a priority up to `last`; None if none is to be committed."""
         piece = _PIECE_S * self._store.limits.write_rps * self._store.writes.share
-        most = max(LEAST_TXN_OPS, int(min(self._limits.txn_ops * self._share, piece)))
+        most = max(MIN_TXN_OPS, int(min(self._limits.txn_ops * self._share, piece)))
         queue = fair_order(self._queue, last, most, clock.now() - self._patience_s)
         return self._builder.build(queue, most, single=self._one_by_one)
 
@@ -215,7 +215,7 @@
 
     def _on_committed(self, batch: Batch, revision: int) -> None:
         self.committed += 1
-        self.wrote.update(key_kind(change.key) for change in batch.changes)
+        self.committed_keys.update(key_kind(change.key) for change in batch.changes)
         for member in batch.members:
             if member.on_commit is not None:
                 member.on_commit()
@@ -223,7 +223,9 @@
         self._one_by_one = False
         for change in batch.changes:
             self._in_doubt.pop(change.key, None)
-        changed = self._cache.wrote(revision, [KeyValue(c.key, c.value) for c in batch.changes])
+        changed = self._cache.apply_own_commit(
+            revision, [KeyValue(c.key, c.value) for c in batch.changes]
+        )
         for member in batch.members:
             self._resolve(member)
         self._on_change(changed)
@@ -234,10 +236,10 @@
         It waits for a random time, so that two controllers do not keep colliding.
         """
         self.rejected += 1
-        self.refused_over.update(key_kind(key) for key in conflict.failed)
+        self.conflicting_keys.update(key_kind(key) for key in conflict.failed)
         log.debug("conflict: %s over %s", batch.names, conflict)
         for member in batch.members:
-            if member.final in conflict.failed:
+            if member.settled_by_key in conflict.failed:
                 self._resolve(member, PreconditionFailedError("known"))
         self._share = max(_LEAST_SHARE, self._share * _SHARE_DECREASE)
         await self._watch.barrier()
@@ -253,10 +255,12 @@
         log.info("a transaction had no answer (%s): reading back", error)
         written = {change.key for change in batch.changes}
         for key, version in batch.transaction.expected_versions.items():
-            if key.startswith(TEAM) and key not in written:
+            if key.startswith(TEAM_PREFIX) and key not in written:
                 self._in_doubt[key] = version
                 self.add(
-                    PendingChange(f"fence {key}", P_HOLD, 1, partial(fence_assignment, key=key))
+                    PendingChange(
+                        f"fence {key}", PRIORITY_LEASE, 1, partial(fence_assignment, key=key)
+                    )
                 )
         await self._watch.barrier()
 
@@ -279,7 +283,7 @@
         """Shrink the limits: the transaction is never tried again as it is."""
         log.warning("%s: %s", batch.names, error)
         self._shrunk_at = clock.now()
-        if not self._limits.refused(len(batch.changes), batch.largest_value_bytes):
+        if not self._limits.shrink(len(batch.changes), batch.largest_value_bytes):
             if len(batch.members) == 1:
                 self._resolve(batch.members[0], PreconditionFailedError(str(error)))
             self._one_by_one = True
--- a/src/sandladder/state/instances.py
+++ b/src/sandladder/state/instances.py
@@ -4,13 +4,15 @@
 from sandladder.state.codecs.instances import instances_value, types_value
 from sandladder.state.codecs.machine_names import machine_number
 from sandladder.state.errors import PreconditionFailedError
-from sandladder.state.keys import INSTANCE, RENTER, TYPES
+from sandladder.state.keys import AUTOSCALER_KEY, INSTANCE_PREFIX, MACHINE_TYPES_KEY
 from sandladder.state.transaction import Transaction
 
 
-def put_types(transaction: Transaction, types: dict[str, MachineType]) -> None:
+def put_machine_types(transaction: Transaction, types: dict[str, MachineType]) -> None:
     """Write the machine types that the cloud offers."""
-    transaction.put(TYPES, types_value(types), transaction.cache.version(TYPES))
+    transaction.put(
+        MACHINE_TYPES_KEY, types_value(types), transaction.cache.version(MACHINE_TYPES_KEY)
+    )
 
 
 def change_instances(
@@ -41,8 +43,8 @@
             instances.pop(name, None)
         else:
             instances[name] = machine
-    transaction.expected_versions[RENTER] = cache.version(RENTER)
-    if any(key.startswith(INSTANCE) for key in cache.unreadable):
+    transaction.expected_versions[AUTOSCALER_KEY] = cache.version(AUTOSCALER_KEY)
+    if any(key.startswith(INSTANCE_PREFIX) for key in cache.unreadable):
         raise PreconditionFailedError("an instance record cannot be read")
     chunks: dict[int, dict[str, Machine]] = {machine_number(n) // chunk_size: {} for n in news}
     for name, machine in instances.items():
@@ -50,6 +52,6 @@
         if members is not None:
             members[name] = machine
     for chunk, members in chunks.items():
-        key = f"{INSTANCE}{chunk}"
+        key = f"{INSTANCE_PREFIX}{chunk}"
         transaction.put(key, instances_value(members) if members else None, cache.version(key))
     return True
--- a/src/sandladder/state/inventory.py
+++ b/src/sandladder/state/inventory.py
@@ -3,9 +3,9 @@
 from typing import Any
 
 from sandladder.model import MachineInventory
-from sandladder.state.codecs.inventory import fold_inventory, pack_inventory
+from sandladder.state.codecs.inventory import inventory_values_v1, inventory_values_v2
 from sandladder.state.entries import KeyValue
-from sandladder.state.keys import NODE, continuation_key
+from sandladder.state.keys import INVENTORY_PREFIX, continuation_key
 from sandladder.state.transaction import Transaction
 
 
@@ -20,12 +20,12 @@
         inventory: its machines.
         value_bytes: how long a value may be, in bytes.
     """
-    key = NODE + node
+    key = INVENTORY_PREFIX + node
     if transaction.is_schema_v1:
-        values = pack_inventory(inventory, value_bytes)
+        values = inventory_values_v1(inventory, value_bytes)
         keys = [key, *(f"{key}/{index}" for index in range(1, len(values)))]
     else:
-        values = fold_inventory(inventory, value_bytes)
+        values = inventory_values_v2(inventory, value_bytes)
         keys = [key, *(continuation_key(key, index) for index in range(1, len(values)))]
     return [KeyValue(name, value) for name, value in zip(keys, values, strict=True)]
 
@@ -43,9 +43,12 @@
         most: how many puts and deletes the transaction may come to.
     """
     for key, value in changes:
-        transaction.write(key, value, lease)
+        transaction.put_unsplit(key, value, lease)
     # Parts of schema version 1; those of version 2 expire with the lease.
     index = len(changes) if transaction.is_schema_v1 else 1
-    while transaction.cache.version(old := f"{NODE}{node}/{index}") and transaction.size < most:
-        transaction.write(old, None)
+    while (
+        transaction.cache.version(old := f"{INVENTORY_PREFIX}{node}/{index}")
+        and transaction.size < most
+    ):
+        transaction.put_unsplit(old, None)
         index += 1
--- a/src/sandladder/state/keys.py
+++ b/src/sandladder/state/keys.py
@@ -7,11 +7,11 @@
 KEY_ROOT = "s/"
 
 # Prefixes of records of which there are many, by what follows the prefix.
-JOB = "s/j/"  # a live job, or one that is finished and not archived yet; by job
-FINAL = "s/f/"  # an archived finished job; by job
-TEAM = "s/t/"  # a team's usage (schema version 1) or assignment (version 2); by team
-NODE = "s/p/"  # a controller's machine inventory, under its lease; by controller
-INSTANCE = "s/v/"  # instances that the cloud runs for the cluster; by number of the chunk
+JOB_PREFIX = "s/j/"  # a live job, or one that is finished and not archived yet; by job
+FINISHED_JOB_PREFIX = "s/f/"  # an archived finished job; by job
+TEAM_PREFIX = "s/t/"  # a team's usage (schema version 1) or assignment (version 2); by team
+INVENTORY_PREFIX = "s/p/"  # a controller's machine inventory, under its lease; by controller
+INSTANCE_PREFIX = "s/v/"  # instances that the cloud runs for the cluster; by number of the chunk
 SUPPORT_PREFIX = "s/n/"  # which schema versions controllers support
 CONTINUATION_PREFIX = "s/x/"  # all parts but the first of records that are split
 MEMBERSHIP_PREFIX = "s/m/"  # written in schema version 2 only
@@ -20,20 +20,20 @@
 PREFIX_LENGTH = 4
 
 # Single records.
-SCHEMA_VERSION_KEY = JOB + "form"
+SCHEMA_VERSION_KEY = JOB_PREFIX + "form"
 SUPPORTED_VERSIONS_KEY = SUPPORT_PREFIX + "forms"
-ROSTER = MEMBERSHIP_PREFIX + "roster"
-TERM = "s/term"  # the last fencing token that was given out
-RENTER = "s/renter"  # the controller that runs the autoscaler
-TYPES = "s/types"  # the machine types that the cloud offers
+ROSTER_KEY = MEMBERSHIP_PREFIX + "roster"
+FENCING_TOKEN_KEY = "s/term"  # the last fencing token that was given out
+AUTOSCALER_KEY = "s/renter"  # the controller that runs the autoscaler
+MACHINE_TYPES_KEY = "s/types"  # the machine types that the cloud offers
 
 # What a controller reads at its start: everything but the archived jobs.
 STARTUP_PREFIXES = (
-    JOB,
-    NODE,
+    JOB_PREFIX,
+    INVENTORY_PREFIX,
     "s/r",
     "s/t",
-    INSTANCE,
+    INSTANCE_PREFIX,
     SUPPORT_PREFIX,
     CONTINUATION_PREFIX,
     MEMBERSHIP_PREFIX,
--- a/src/sandladder/state/pending_change.py
+++ b/src/sandladder/state/pending_change.py
@@ -14,22 +14,22 @@
 """How urgent a change is: lower goes first."""
 
 # What the controller's lease depends on.
-P_HOLD = Priority(0)
+PRIORITY_LEASE = Priority(0)
 # What a user or another controller waits for.
-P_USER = Priority(1)
+PRIORITY_REQUEST = Priority(1)
 # A start that must not wait for the write budget.
-P_START = Priority(1.5)
+PRIORITY_URGENT_START = Priority(1.5)
 # Other work on jobs: from here to one more, by the job's priority.
-P_WORK = Priority(2)
+PRIORITY_JOB = Priority(2)
 # What can wait until nothing else is to be done.
-P_IDLE = Priority(9)
+PRIORITY_BACKGROUND = Priority(9)
 # After everything else.
 LAST_PRIORITY = Priority(math.inf)
 
 
-def work_priority(priority: int) -> Priority:
+def job_priority(priority: int) -> Priority:
     """The priority of a change for a job: more urgent jobs' changes go first."""
-    return Priority(P_WORK + (PRODUCTION - priority) / 10)
+    return Priority(PRIORITY_JOB + (PRODUCTION - priority) / 10)
 
 
 @dataclass(eq=False)
@@ -58,9 +58,9 @@
     priority: float
     cost: int
     apply: Callable[[Transaction], bool]
-    final: str = field(default="", kw_only=True)
+    settled_by_key: str = field(default="", kw_only=True)
     leased: bool = field(default=False, kw_only=True)
-    adds: Callable[[Transaction], int] | None = field(default=None, kw_only=True)
+    added_operations: Callable[[Transaction], int] | None = field(default=None, kw_only=True)
     on_commit: Callable[[], None] | None = field(default=None, kw_only=True)
     since: float = field(default=0.0, init=False)
     finished: anyio.Event = field(default_factory=anyio.Event, init=False)
@@ -69,7 +69,7 @@
 
     def added_to(self, transaction: Transaction) -> int:
         """How many puts and deletes it adds at most to a transaction."""
-        return self.cost if self.adds is None else self.adds(transaction)
+        return self.cost if self.added_operations is None else self.added_operations(transaction)
 
     async def wait(self) -> None:
         """Wait until it is committed.
@@ -115,7 +115,7 @@
             clock, in seconds.
     """
     ready = [change for change in queue if change.priority <= last]
-    aged = [c for c in queue if c.priority < P_IDLE and c.since < waited_since]
+    aged = [c for c in queue if c.priority < PRIORITY_BACKGROUND and c.since < waited_since]
     if not ready or not aged:
         return ready
     aged.sort(key=lambda change: change.since)
--- a/src/sandladder/state/schema_changes.py
+++ b/src/sandladder/state/schema_changes.py
@@ -4,32 +4,36 @@
 """
 
 from sandladder.model import SCHEMA_V1, SCHEMA_V2
-from sandladder.protocol import wire
+from sandladder.protocol import store_messages
 from sandladder.state.cache import StateCache
 from sandladder.state.codecs.instances import instances_value
 from sandladder.state.codecs.schema import schema_version_value
 from sandladder.state.entries import KeyChange, StoredValue
 from sandladder.state.errors import ConflictError, PreconditionFailedError
 from sandladder.state.keys import (
-    INSTANCE,
-    JOB,
-    NODE,
+    FENCING_TOKEN_KEY,
+    INSTANCE_PREFIX,
+    INVENTORY_PREFIX,
+    JOB_PREFIX,
+    MACHINE_TYPES_KEY,
     SCHEMA_VERSION_KEY,
     SUPPORTED_VERSIONS_KEY,
-    TERM,
-    TYPES,
     last_component,
 )
 from sandladder.state.store_client import StoreClient
 from sandladder.state.transaction import Transaction
 
 
-def fresh(cache: StateCache) -> bool:
+def is_store_empty(cache: StateCache) -> bool:
     """Whether nobody has ever written to the store.
 
     The first records that are written are the fencing token and the machine types.
     """
-    return not cache.version(TERM) and not cache.version(TYPES) and not cache.jobs
+    return (
+        not cache.version(FENCING_TOKEN_KEY)
+        and not cache.version(MACHINE_TYPES_KEY)
+        and not cache.jobs
+    )
 
 
 def mark_schema_version(transaction: Transaction, node: str, schema_version: int | None) -> bool:
@@ -68,17 +72,19 @@
     if cache.schema_version >= SCHEMA_V2:
         return False
     for node in nodes:
-        inventory = cache.nodes.get(node)
+        inventory = cache.inventories.get(node)
         supported = cache.supported_versions.get(node, SCHEMA_V1)
         if supported < SCHEMA_V2 or node in cache.unreadable_nodes:
             raise PreconditionFailedError(f"{node} is not known to support the schema version")
         if inventory is not None and inventory.schema_version < SCHEMA_V2:
             raise PreconditionFailedError(f"{node} runs an older version")
-        transaction.expected_versions[NODE + node] = cache.version(NODE + node)
+        transaction.expected_versions[INVENTORY_PREFIX + node] = cache.version(
+            INVENTORY_PREFIX + node
+        )
     version = cache.version(SUPPORTED_VERSIONS_KEY)
     transaction.expected_versions[SUPPORTED_VERSIONS_KEY] = version
     transaction.put(SCHEMA_VERSION_KEY, schema_version_value(SCHEMA_V2), 0)
-    transaction.put(TERM, cache.term + 1, cache.version(TERM))
+    transaction.put(FENCING_TOKEN_KEY, cache.fencing_token + 1, cache.version(FENCING_TOKEN_KEY))
     return True
 
 
@@ -99,9 +105,9 @@
     """
     cache = transaction.cache
     name = last_component(key)
-    if key.startswith(JOB):
+    if key.startswith(JOB_PREFIX):
         return transaction.job(name) is not None
-    if key.startswith(INSTANCE) and int(name) in cache.instance_chunks:
+    if key.startswith(INSTANCE_PREFIX) and int(name) in cache.instance_chunks:
         machines = {
             machine: cache.instances[machine] for machine in cache.instance_chunks[int(name)]
         }
@@ -110,7 +116,7 @@
     return False
 
 
-async def retire(store: StoreClient, node: str) -> str | None:
+async def retire_controller(store: StoreClient, node: str) -> str | None:
     """Record that a controller which never comes back does not block the new schema version.
 
     It must not be running: the transaction relies on its inventory, which expires with its lease,
@@ -123,12 +129,14 @@
         StoreRequestError: the store did not answer or did not carry it out.
         UnknownOutcomeError: it may have been written or not.
     """
-    if await store.get(NODE + node) is not None:
+    if await store.get(INVENTORY_PREFIX + node) is not None:
         return f"{node} lives: it records itself which schema version it supports"
     found = await store.get(SUPPORTED_VERSIONS_KEY)
     supported, version = found or StoredValue({}, 0)
     change = KeyChange(SUPPORTED_VERSIONS_KEY, {**supported, node: SCHEMA_V2})
-    body = wire.commit_body([(NODE + node, 0), (SUPPORTED_VERSIONS_KEY, version)], [change], [])
+    body = store_messages.commit_body(
+        [(INVENTORY_PREFIX + node, 0), (SUPPORTED_VERSIONS_KEY, version)], [change], []
+    )
     try:
         await store.commit(body, 1)
     except ConflictError as conflict:
--- a/src/sandladder/state/schema_migration.py
+++ b/src/sandladder/state/schema_migration.py
@@ -19,8 +19,8 @@
 from sandladder.state.codecs.jobs import job_value
 from sandladder.state.errors import PreconditionFailedError
 from sandladder.state.group_commit import GroupCommitter
-from sandladder.state.keys import INSTANCE, JOB
-from sandladder.state.pending_change import P_IDLE, P_USER, PendingChange
+from sandladder.state.keys import INSTANCE_PREFIX, JOB_PREFIX
+from sandladder.state.pending_change import PRIORITY_BACKGROUND, PRIORITY_REQUEST, PendingChange
 from sandladder.state.schema_changes import (
     mark_schema_version,
     raise_schema_version,
@@ -41,13 +41,13 @@
 class ClusterMembers(Protocol):
     """What the migration asks about the other controllers."""
 
-    def older(self) -> set[str]:
+    def outdated_peers(self) -> set[str]:
         """The controllers that send heartbeats and support schema version 1 only."""
 
     def live_nodes(self) -> list[str]:
         """The controllers that are members now."""
 
-    def places(self, team: str) -> bool:
+    def is_assigned(self, team: str) -> bool:
         """Whether this controller schedules a team's jobs."""
 
 
@@ -119,7 +119,7 @@
         """Record what is known to be supported, and raise the version if all support it."""
         if not self._supports_v2(self._node):
             await self._mark(self._node, SCHEMA_V2)
-        for node, inventory in self._cache.nodes.items():
+        for node, inventory in self._cache.inventories.items():
             if inventory.schema_version < SCHEMA_V2 and self._supports_v2(node):
                 log.warning("%s runs an older version again", node)
                 await self._mark(node, None)
@@ -138,7 +138,7 @@
         )
 
     async def _commit(
-        self, name: str, apply: Callable[[Transaction], bool], priority: float = P_USER
+        self, name: str, apply: Callable[[Transaction], bool], priority: float = PRIORITY_REQUEST
     ) -> None:
         await self._committer.add(PendingChange(name, priority, 2, apply)).wait()
 
@@ -151,7 +151,7 @@
         known: set[str] = set()
         while True:
             await anyio.sleep(self._check_s)
-            older = self._members.older()
+            older = self._members.outdated_peers()
             if older - known:
                 log.error("%s run a version that does not support these records", sorted(older))
             known = older
@@ -168,7 +168,9 @@
         """Rewrite what is longer than the limits to come, while there is time."""
         for key in self._long_records():
             try:
-                await self._commit(f"shorter {key}", partial(rewrite_record, key=key), P_IDLE)
+                await self._commit(
+                    f"shorter {key}", partial(rewrite_record, key=key), PRIORITY_BACKGROUND
+                )
             except PreconditionFailedError as refusal:
                 log.debug("%s stays as it is: %s", key, refusal)
 
@@ -176,13 +178,13 @@
         """The keys of this controller's records that are longer than a value may be."""
         cache, most = self._cache, self._limits.value_bytes
         keys = [
-            JOB + job.id
+            JOB_PREFIX + job.id
             for job in cache.jobs.values()
-            if self._members.places(job.spec.team) and _length(job_value(job)) > most
+            if self._members.is_assigned(job.spec.team) and _length(job_value(job)) > most
         ]
         if cache.autoscaler_node == self._node:
             keys += [
-                f"{INSTANCE}{chunk}"
+                f"{INSTANCE_PREFIX}{chunk}"
                 for chunk, names in cache.instance_chunks.items()
                 if _length(instances_value({name: cache.instances[name] for name in names})) > most
             ]
--- a/src/sandladder/state/store_client.py
+++ b/src/sandladder/state/store_client.py
@@ -3,8 +3,8 @@
 from typing import NamedTuple
 
 from sandladder import clock
-from sandladder.config import State
-from sandladder.protocol import wire
+from sandladder.config import StoreSettings
+from sandladder.protocol import loads_map, store_messages
 from sandladder.state.entries import StoredEntries, StoredEntry, StoredValue
 from sandladder.state.errors import (
     ConflictError,
@@ -16,7 +16,7 @@
 )
 from sandladder.state.keys import KEY_ROOT
 from sandladder.state.token_bucket import AdaptiveTokenBucket
-from sandladder.transport import HttpError, Requester, Response
+from sandladder.transport import HttpError, HttpRequester, Response
 
 _OK, _BAD_REQUEST, _NOT_FOUND, _CONFLICT, _GONE = 200, 400, 404, 409, 410
 _RATE_LIMITED, _SERVER_ERROR, _UNAVAILABLE = 429, 500, 503
@@ -37,15 +37,15 @@
         ok_at: when the store last answered, in seconds on the steady clock.
     """
 
-    def __init__(self, client: Requester, limits: State, timeout: float) -> None:
+    def __init__(self, client: HttpRequester, limits: StoreSettings, timeout: float) -> None:
         """`timeout`: after how many seconds a request without an answer is given up."""
         self._client = client
         self._timeout = timeout
         self.limits = limits
-        least = limits.least()
+        least = limits.strictest()
         self.writes = AdaptiveTokenBucket(limits.write_rps, least.write_rps)
         self.requests = AdaptiveTokenBucket(limits.rps, least.rps)
-        self.ok_at = float("-inf")
+        self.last_answer_at = float("-inf")
 
     async def get(self, key: str) -> StoredValue | None:
         """A key's value and version, or None if there is no such key.
@@ -53,10 +53,10 @@
         Raises:
             StoreRequestError: the store did not answer, or not with a value.
         """
-        answer = await self._request("GET", f"{wire.STORE}/{key}")
+        answer = await self._request("GET", f"{store_messages.KEYS_PATH}/{key}")
         if answer.status == _NOT_FOUND:
             return None
-        return StoredValue(*wire.parse_value(_ok_body(answer)))
+        return StoredValue(*store_messages.parse_value(_ok_body(answer)))
 
     async def read_all(self, prefix: str) -> StoredEntries:
         """All keys with a prefix, read page by page.
@@ -69,8 +69,8 @@
         entries: list[StoredEntry] = []
         after, least = "", None
         while True:
-            answer = await self._request("GET", wire.list_target(prefix, after))
-            revision, page, more = wire.parse_items(_ok_body(answer))
+            answer = await self._request("GET", store_messages.list_target(prefix, after))
+            revision, page, more = store_messages.parse_items(_ok_body(answer))
             least = revision if least is None else min(least, revision)
             entries += [StoredEntry(*item) for item in page]
             if not more or not page:
@@ -83,14 +83,14 @@
         Raises:
             StoreRequestError: the store did not answer.
         """
-        answer = await self._request("GET", wire.follow_target(KEY_ROOT, after, 0.0))
+        answer = await self._request("GET", store_messages.watch_target(KEY_ROOT, after, 0.0))
         if answer.status == _GONE:
             return None
-        revision, events = wire.parse_events(_ok_body(answer))
+        revision, events = store_messages.parse_events(_ok_body(answer))
         return StoredEntries(revision, [StoredEntry(*event) for event in events])
 
     async def commit(self, body: bytes, changes: int) -> int:
-        """Apply a transaction, as `wire.commit_body` encodes it.
+        """Apply a transaction, as `store_messages.commit_body` encodes it.
 
         Args:
             body: the transaction.
@@ -109,27 +109,29 @@
         self.writes.spend(changes)
         self.requests.spend(1)
         try:
-            answer = await self._client.request("POST", wire.COMMIT, body, timeout=self._timeout)
+            answer = await self._client.request(
+                "POST", store_messages.COMMIT_PATH, body, timeout=self._timeout
+            )
         except HttpError as error:
             raise UnknownOutcomeError(str(error)) from None
         if answer.status == _RATE_LIMITED:
-            self.writes.refused(changes)
+            self.writes.on_rejected(changes)
             raise StoreRequestError("over the rate limit", answer.status)
         if answer.status == _UNAVAILABLE:
             self.writes.refund(changes)
             raise StoreUnavailableError("status 503", answer.status)
         if answer.status >= _SERVER_ERROR:
             raise UnknownOutcomeError(f"status {answer.status}", answer.status)
-        self.ok_at = clock.now()
+        self.last_answer_at = clock.now()
         if answer.status == _CONFLICT:
-            raise ConflictError(wire.parse_failed(answer.body))
+            raise ConflictError(store_messages.parse_failed_keys(answer.body))
         if answer.status == _BAD_REQUEST:
-            reason = wire.loads_map(answer.body).get("error")
+            reason = loads_map(answer.body).get("error")
             if reason == _NO_SUCH_LEASE:
                 raise LeaseExpiredError
             raise TransactionTooLargeError(reason)
-        self.writes.allowed()
-        return wire.parse_revision(_ok_body(answer))
+        self.writes.on_allowed()
+        return store_messages.parse_revision(_ok_body(answer))
 
     async def grant_lease(self, ttl_s: float) -> int:
         """A new lease that lasts so many seconds from now or from its last renewal.
@@ -137,8 +139,10 @@
         Raises:
             StoreRequestError: the store did not answer; a lease may exist that nobody renews.
         """
-        answer = await self._request("POST", wire.HOLDS, wire.lease_body(ttl_s))
-        return wire.parse_lease(_ok_body(answer))
+        answer = await self._request(
+            "POST", store_messages.LEASES_PATH, store_messages.lease_body(ttl_s)
+        )
+        return store_messages.parse_lease(_ok_body(answer))
 
     async def renew(self, lease: int) -> None:
         """Renew a lease.
@@ -147,7 +151,7 @@
             LeaseExpiredError: it has expired.
             StoreRequestError: the store did not answer; it may have been renewed.
         """
-        answer = await self._request("POST", f"{wire.HOLDS}/{lease}/renew")
+        answer = await self._request("POST", f"{store_messages.LEASES_PATH}/{lease}/renew")
         if answer.status == _NOT_FOUND:
             raise LeaseExpiredError(lease)
         _ok_body(answer)
@@ -160,12 +164,12 @@
         except HttpError as error:
             raise StoreRequestError(str(error)) from None
         if answer.status == _RATE_LIMITED:
-            self.requests.refused(1)
+            self.requests.on_rejected(1)
             raise StoreRequestError("over the rate limit", answer.status)
         if answer.status >= _SERVER_ERROR:
             raise StoreRequestError(f"status {answer.status}", answer.status)
-        self.ok_at = clock.now()
-        self.requests.allowed()
+        self.last_answer_at = clock.now()
+        self.requests.on_allowed()
         return answer
 
 
--- a/src/sandladder/state/store_limits.py
+++ b/src/sandladder/state/store_limits.py
@@ -7,7 +7,7 @@
 
 import math
 
-from sandladder.config import LEAST_TXN_OPS, State
+from sandladder.config import MIN_TXN_OPS, StoreSettings
 from sandladder.model import SCHEMA_V1
 from sandladder.state.cache import StateCache
 
@@ -39,9 +39,9 @@
         least: the smallest that may come into force without notice.
     """
 
-    def __init__(self, state: State, cache: StateCache) -> None:
-        self.today = state
-        self.least = state.least()
+    def __init__(self, state: StoreSettings, cache: StateCache) -> None:
+        self.configured = state
+        self.least = state.strictest()
         self._cache = cache
         self._largest_txn_ops = math.inf
         self._largest_value_bytes = math.inf
@@ -51,8 +51,8 @@
         return self._cache.schema_version == SCHEMA_V1
 
     @property
-    def _configured(self) -> State:
-        return self.today if self._is_schema_v1 else self.least
+    def _configured(self) -> StoreSettings:
+        return self.configured if self._is_schema_v1 else self.least
 
     @property
     def txn_ops(self) -> int:
@@ -70,28 +70,28 @@
         return min(self._configured.value_bytes * _VALUE_SHARE, self._largest_value_bytes)
 
     @property
-    def parts(self) -> int:
+    def most_parts(self) -> int:
         """How many values a job's record may take: its end needs one change more."""
         if self._is_schema_v1:
             return 1
         return max(1, min(_MOST_PARTS, self.txn_ops - 1))
 
-    def spec_room(self) -> float:
+    def most_spec_bytes(self) -> float:
         """How long a job's record may be while nothing of it is live, in bytes."""
         if self._is_schema_v1:
-            return self.today.value_bytes * _SPEC_SHARE
-        return self.parts * self.value_bytes * (1 - _LEAST_LIVE_SHARE)
+            return self.configured.value_bytes * _SPEC_SHARE
+        return self.most_parts * self.value_bytes * (1 - _LEAST_LIVE_SHARE)
 
-    def most_live(self, spec_bytes: int = 512) -> int:
+    def most_live_tasks(self, spec_bytes: int = 512) -> int:
         """How many tasks of a job may be live such that its record stays within the limits."""
         if self._is_schema_v1:
-            most = int(self.today.value_bytes * _LIVE_SHARE / _TASK_BYTES)
+            most = int(self.configured.value_bytes * _LIVE_SHARE / _TASK_BYTES)
         else:
-            free_bytes = self.parts * self.value_bytes - spec_bytes
+            free_bytes = self.most_parts * self.value_bytes - spec_bytes
             most = int(free_bytes / _COMPRESSED_TASK_BYTES)
         return max(_LEAST_LIVE_TASKS, most)
 
-    def refused(self, changes: int, largest: int) -> bool:
+    def shrink(self, changes: int, largest: int) -> bool:
         """Shrink the limits: the store rejected a transaction as too large.
 
         What was rejected is not tried again as it is: fewer changes at a time first, then shorter
@@ -104,8 +104,8 @@
         Returns:
             False if a transaction cannot be made any smaller.
         """
-        if changes > LEAST_TXN_OPS:
-            self._largest_txn_ops = max(LEAST_TXN_OPS, changes // 2)
+        if changes > MIN_TXN_OPS:
+            self._largest_txn_ops = max(MIN_TXN_OPS, changes // 2)
             return True
         smaller = min(largest, self.value_bytes) * _VALUE_DECREASE
         if self._is_schema_v1 or smaller < _LEAST_VALUE_BYTES:
--- a/src/sandladder/state/token_bucket.py
+++ b/src/sandladder/state/token_bucket.py
@@ -75,11 +75,11 @@
         """Give back what was spent on a request that was not carried out."""
         self._tokens += amount
 
-    def allowed(self) -> None:
+    def on_allowed(self) -> None:
         """A request was within the limit."""
         self._confidence = min(1.0, self._confidence * _INCREASE)
 
-    def refused(self, amount: float) -> None:
+    def on_rejected(self, amount: float) -> None:
         """A request was over the limit: nothing was spent, but others are spending.
 
         Seen in a measured day: halving the rate on each rejection left three quarters of the limit
--- a/src/sandladder/state/transaction.py
+++ b/src/sandladder/state/transaction.py
@@ -13,7 +13,7 @@
 from sandladder.state.codecs.split_values import split_value
 from sandladder.state.codecs.teams import assignment_value, usage_value
 from sandladder.state.entries import KeyChange, LeasedValue
-from sandladder.state.keys import FINAL, JOB, TEAM, continuation_key
+from sandladder.state.keys import FINISHED_JOB_PREFIX, JOB_PREFIX, TEAM_PREFIX, continuation_key
 
 
 class Transaction:
@@ -41,12 +41,12 @@
     ) -> None:
         self.cache = cache
         self.value_bytes = value_bytes
-        self.unsure = in_doubt or {}
+        self.in_doubt = in_doubt or {}
         self.jobs: dict[str, Job | None] = {}
         self.teams: dict[str, TeamUsage] = {}
         self.usage: dict[str, TeamUsage] = {}
         self.finished_jobs: dict[str, FinishedJob] = {}
-        self.others: dict[str, LeasedValue] = {}
+        self.other_records: dict[str, LeasedValue] = {}
         self.instances: dict[str, Machine] | None = None
         self.expected_versions: dict[str, int] = {}
         # By the record's key, how it is written; records that changed since are not among these.
@@ -54,10 +54,10 @@
 
     def copy(self) -> "Transaction":
         """A copy to try one more change on; the original stays as it is."""
-        twin = Transaction(self.cache, self.value_bytes, self.unsure)
+        twin = Transaction(self.cache, self.value_bytes, self.in_doubt)
         twin.jobs = {job_id: job.copy() if job else None for job_id, job in self.jobs.items()}
         twin.teams, twin.usage = dict(self.teams), dict(self.usage)
-        twin.finished_jobs, twin.others = dict(self.finished_jobs), dict(self.others)
+        twin.finished_jobs, twin.other_records = dict(self.finished_jobs), dict(self.other_records)
         twin.instances, twin.expected_versions = self.instances, dict(self.expected_versions)
         twin._encoded = dict(self._encoded)
         return twin
@@ -71,21 +71,21 @@
 
     def job(self, job_id: str) -> Job | None:
         """A job for changing, or None if it is not live or cannot be read."""
-        self._encoded.pop(JOB + job_id, None)
+        self._encoded.pop(JOB_PREFIX + job_id, None)
         if job_id not in self.jobs:
             found = self.cache.jobs.get(job_id)
-            if found is None or JOB + job_id in self.cache.unreadable:
+            if found is None or JOB_PREFIX + job_id in self.cache.unreadable:
                 return None
             self.jobs[job_id] = found.copy()
-            self.expected_versions[JOB + job_id] = self.cache.version(JOB + job_id)
+            self.expected_versions[JOB_PREFIX + job_id] = self.cache.version(JOB_PREFIX + job_id)
         return self.jobs[job_id]
 
     def create(self, job: Job) -> None:
         """Add a job that must exist neither live nor finished."""
-        self._encoded.pop(JOB + job.id, None)
+        self._encoded.pop(JOB_PREFIX + job.id, None)
         self.jobs[job.id] = job
-        self.expected_versions[JOB + job.id] = 0
-        self.expected_versions[FINAL + job.id] = 0
+        self.expected_versions[JOB_PREFIX + job.id] = 0
+        self.expected_versions[FINISHED_JOB_PREFIX + job.id] = 0
 
     def finish(self, job: Job, state: str, now: float) -> None:
         """End a job without live attempts.
@@ -98,23 +98,23 @@
             state: its outcome.
             now: the time of day.
         """
-        self._encoded.pop(JOB + job.id, None)
+        self._encoded.pop(JOB_PREFIX + job.id, None)
         self.jobs[job.id] = None
         self.finished_jobs[job.id] = FinishedJob(state, job.done.count, now)
-        self.expected_versions[FINAL + job.id] = 0
+        self.expected_versions[FINISHED_JOB_PREFIX + job.id] = 0
 
     def team(self, name: str) -> TeamUsage:
         """A team's record in schema version 1, for changing."""
         if name not in self.teams:
             self.teams[name] = self.cache.teams.get(name, TeamUsage())
-            self.expected_versions[TEAM + name] = self.cache.version(TEAM + name)
+            self.expected_versions[TEAM_PREFIX + name] = self.cache.version(TEAM_PREFIX + name)
         return self.teams[name]
 
-    def held(self, name: str) -> TeamUsage:
+    def usage_of(self, name: str) -> TeamUsage:
         """What the live attempts of a team use, with the changes made here."""
         if self.is_schema_v1:
             return self.team(name)
-        return self.usage.get(name, self.cache.used.get(name, TeamUsage()))
+        return self.usage.get(name, self.cache.usage.get(name, TeamUsage()))
 
     def change_usage(self, job: Job, tasks: int) -> None:
         """Change what the job's team uses by so many tasks of the job; fewer if negative."""
@@ -123,7 +123,7 @@
             self.teams[name] = self.team(name).plus(job.spec, tasks)
         else:
             # It follows from the records of the team's jobs; nothing is written of it.
-            self.usage[name] = self.held(name).plus(job.spec, tasks)
+            self.usage[name] = self.usage_of(name).plus(job.spec, tasks)
 
     # Other records
 
@@ -137,12 +137,12 @@
             lease: the lease that it is attached to.
         """
         self._encoded.pop(key, None)
-        self.others[key] = LeasedValue(value, lease)
+        self.other_records[key] = LeasedValue(value, lease)
         self.expected_versions[key] = version
 
-    def write(self, key: str, value: Any, lease: int | None = None) -> None:
+    def put_unsplit(self, key: str, value: Any, lease: int | None = None) -> None:
         """Write one key as it stands in the cache, without splitting the value."""
-        self.others[key] = LeasedValue(value, lease)
+        self.other_records[key] = LeasedValue(value, lease)
         self.expected_versions[key] = self.cache.version(key)
         self._encoded[key] = [KeyChange(key, value, lease)]
 
@@ -158,18 +158,23 @@
         found: list[KeyChange] = []
         for job_id in self.jobs:
             found += self._job_changes(job_id)
-        found += [KeyChange(TEAM + name, usage_value(team)) for name, team in self.teams.items()]
+        found += [
+            KeyChange(TEAM_PREFIX + name, usage_value(team)) for name, team in self.teams.items()
+        ]
         if self.is_schema_v1:
             found += [
-                KeyChange(FINAL + job_id, finished_job_value(finished, self.cache.schema_version))
+                KeyChange(
+                    FINISHED_JOB_PREFIX + job_id,
+                    finished_job_value(finished, self.cache.schema_version),
+                )
                 for job_id, finished in self.finished_jobs.items()
             ]
-        for key, (value, lease) in self.others.items():
+        for key, (value, lease) in self.other_records.items():
             found += self._record_changes(key, value, lease)
         return found
 
     def _job_changes(self, job_id: str) -> list[KeyChange]:
-        key = JOB + job_id
+        key = JOB_PREFIX + job_id
         encoded = self._encoded.get(key)
         if encoded is not None:
             return encoded
@@ -208,8 +213,8 @@
     False if nothing is in doubt about it any more.
     """
     version = transaction.cache.version(key)
-    assignment = transaction.cache.assignments.get(key[len(TEAM) :])
-    if transaction.unsure.get(key) != version or assignment is None:
+    assignment = transaction.cache.assignments.get(key[len(TEAM_PREFIX) :])
+    if transaction.in_doubt.get(key) != version or assignment is None:
         return False
     transaction.put(key, assignment_value(assignment), version)
     return True
--- a/src/sandladder/state/watch.py
+++ b/src/sandladder/state/watch.py
@@ -7,7 +7,7 @@
 
 from sandladder import clock
 from sandladder.concurrency import Signal
-from sandladder.protocol import wire
+from sandladder.protocol import MalformedMessageError
 from sandladder.state.cache import StateCache
 from sandladder.state.entries import StoredEntry
 from sandladder.state.errors import StoreRequestError
@@ -90,7 +90,7 @@
             waiting, self._waiting = self._waiting, []
             try:
                 await self._read_changes()
-            except (StoreRequestError, wire.MalformedMessageError) as error:
+            except (StoreRequestError, MalformedMessageError) as error:
                 log.debug("reading the store failed: %s", error)
                 self._waiting = waiting + self._waiting
                 await anyio.sleep(self._spacing_s * 2)
--- a/src/sandladder/transport/__init__.py
+++ b/src/sandladder/transport/__init__.py
@@ -7,15 +7,15 @@
 """
 
 from sandladder.transport.http import (
-    Connect,
     Handler,
+    HttpConnector,
     HttpError,
+    HttpRequester,
     Request,
-    Requester,
     Response,
 )
-from sandladder.transport.http_client import Client
-from sandladder.transport.http_server import Server
+from sandladder.transport.http_client import HttpClient
+from sandladder.transport.http_server import HttpServer
 from sandladder.transport.peer_messages import (
     ChangeNotice,
     EndedTask,
@@ -30,8 +30,8 @@
 
 __all__ = [
     "ChangeNotice",
-    "Client",
-    "Connect",
+    "HttpClient",
+    "HttpConnector",
     "EndedTask",
     "EndedTasks",
     "ForwardedRequest",
@@ -43,7 +43,7 @@
     "PeerConnection",
     "PeerHeartbeat",
     "Request",
-    "Requester",
+    "HttpRequester",
     "Response",
-    "Server",
+    "HttpServer",
 ]
--- a/src/sandladder/transport/http.py
+++ b/src/sandladder/transport/http.py
@@ -33,7 +33,7 @@
 Handler = Callable[[Request], Awaitable[Response]]
 
 
-class Requester(Protocol):
+class HttpRequester(Protocol):
     """What the rest of the program needs of a client."""
 
     async def request(
@@ -53,9 +53,9 @@
         ...
 
 
-class Connect(Protocol):
+class HttpConnector(Protocol):
     """Makes a client for an address; tests put their own network here."""
 
-    def __call__(self, host: str, port: int, *, keep: int) -> Requester:
+    def __call__(self, host: str, port: int, *, keep: int) -> HttpRequester:
         """A client that keeps up to `keep` idle connections; it connects when it has to."""
         ...
--- a/src/sandladder/transport/http_client.py
+++ b/src/sandladder/transport/http_client.py
@@ -15,7 +15,7 @@
     state: h11.Connection
 
 
-class Client:
+class HttpClient:
     """Sends requests to one address over a few kept connections.
 
     Requests may be made concurrently; each has a connection of its own while it is under way.
--- a/src/sandladder/transport/http_server.py
+++ b/src/sandladder/transport/http_server.py
@@ -21,7 +21,7 @@
     """A request body over the limit."""
 
 
-class Server:
+class HttpServer:
     """Serves one address; each connection is a task of its own."""
 
     def __init__(
--- a/src/sandladder/transport/peer_messages.py
+++ b/src/sandladder/transport/peer_messages.py
@@ -83,7 +83,7 @@
 
     node: str
     machine: str
-    seen: MachineStatus
+    status: MachineStatus
 
 
 class EndedTasks(msgspec.Struct, tag="ends", array_like=True):
--- a/src/sandladder/transport/peer_transport.py
+++ b/src/sandladder/transport/peer_transport.py
@@ -15,7 +15,7 @@
 
 from sandladder import clock
 from sandladder.concurrency import Signal
-from sandladder.config import Peer, split_addr
+from sandladder.config import PeerAddress, parse_address
 from sandladder.transport.peer_messages import (
     MAX_FRAME_BYTES,
     ChangeNotice,
@@ -68,7 +68,7 @@
 
     def __init__(
         self,
-        peer: Peer,
+        peer: PeerAddress,
         heartbeat_interval_s: float,
         on_connection_change: Callable[[str, bool], None],
     ) -> None:
@@ -115,7 +115,7 @@
 
     async def _connect(self) -> SocketStream | None:
         """Connect; None if that failed, which is announced."""
-        host, port = split_addr(self.peer.addr)
+        host, port = parse_address(self.peer.addr)
         try:
             with anyio.fail_after(self._timeout_s):
                 return await anyio.connect_tcp(host, port)
@@ -170,7 +170,7 @@
         idle_timeout_s: a connection without a message for so many seconds is closed.
         receive: called with each message, in the order of arrival on its connection.
     """
-    host, port = split_addr(addr)
+    host, port = parse_address(addr)
     connections = 0
 
     async def serve_connection(stream: SocketStream) -> None:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -9,25 +9,29 @@
 from sandladder.config import Settings, TeamLimits
 from sandladder.jobs import start, submit
 from sandladder.model import AgentHeartbeat, Job, MachineInventory, MachineStatus, MachineType
-from sandladder.protocol import wire
+from sandladder.protocol import job_messages
 from sandladder.scheduling import ClusterView, Gate, Planner
-from sandladder.state import FINAL, StateCache, StoreLimits, Transaction
+from sandladder.state import FINISHED_JOB_PREFIX, StateCache, StoreLimits, Transaction
 from simulation import job, settings
 
 LIMITS = TeamLimits("red", 16.0, 48.0, 2.0, 4.0)
 
 
 def spec(number: int = 1, **fields: object):
-    return wire.parse_job(cbor2.dumps(job(number, **fields))).spec
+    return job_messages.parse_submission(cbor2.dumps(job(number, **fields))).spec
 
 
 def commit(cache: StateCache, transaction: Transaction) -> None:
     """Apply a view as the state service would."""
     for key, version in transaction.expected_versions.items():
-        final = cache.finished_jobs.get(key.rpartition("/")[2]) if key.startswith(FINAL) else None
-        assert version == (final.version if final and final.filed else cache.version(key))
+        final = (
+            cache.finished_jobs.get(key.rpartition("/")[2])
+            if key.startswith(FINISHED_JOB_PREFIX)
+            else None
+        )
+        assert version == (final.version if final and final.archived else cache.version(key))
     changes = [(key, value) for key, value, _ in transaction.changes()]
-    cache.wrote(cache.revision + 1, changes)
+    cache.apply_own_commit(cache.revision + 1, changes)
     cache.apply(cache.revision + 1, [])
 
 
@@ -36,7 +40,7 @@
     cache, reconciler, gate = StateCache(), Reconciler(), Gate()
     for name in ("small", "large"):
         size = 4.0 if name == "small" else 16.0
-        cache.types[name] = MachineType(
+        cache.machine_types[name] = MachineType(
             name, size, 0.0, 4 * size, 20.0, 1.0, 0.2, 0.1, 9.0, ("north", "south")
         )
     loss = LeaseExpiryProof("node-0", ["node-0"], 12.0, 0.0)
@@ -45,10 +49,10 @@
     deployment = msgspec.structs.replace(known.platform.deployment, state=state)
     platform = msgspec.structs.replace(known.platform, deployment=deployment)
     cluster_view = ClusterView(Settings(platform), cache, reconciler, loss, gate)
-    reconciler.new_term(1)
+    reconciler.adopt_fencing_token(1)
     for name, kind, zone in (("vm-1", "small", "north"), ("vm-2", "large", "south")):
         report = AgentHeartbeat(name, f"{name}:1", kind, zone, False, 1, 1, 1, None, ())
-        cluster_view.heard(reconciler.heard(report, 0.0, direct=False).agent)
+        cluster_view.record_heartbeat(reconciler.receive_heartbeat(report, 0.0, direct=False).agent)
     limits = StoreLimits(state, cache)
     return cluster_view, Planner(cluster_view, limits, Random(1)), cache, reconciler
 
--- a/tests/membership/cluster.py
+++ b/tests/membership/cluster.py
@@ -17,10 +17,10 @@
 )
 from sandladder.model import SCHEMA_V2, MachineInventory, Member, TeamAssignment
 from sandladder.state import (
-    NODE,
+    FENCING_TOKEN_KEY,
+    INVENTORY_PREFIX,
     SCHEMA_VERSION_KEY,
-    TEAM,
-    TERM,
+    TEAM_PREFIX,
     PreconditionFailedError,
     StateCache,
     Transaction,
@@ -84,9 +84,11 @@
         self.inventories: dict[str, MachineInventory] = {}
         self.members: dict[str, Member] = {}
         self.read()
-        self.own = TeamAssignment(name, self.cache.term + 1)
+        self.own = TeamAssignment(name, self.cache.fencing_token + 1)
         transaction = Transaction(self.cache)
-        transaction.put(TERM, self.own.term, self.cache.version(TERM))
+        transaction.put(
+            FENCING_TOKEN_KEY, self.own.incarnation, self.cache.version(FENCING_TOKEN_KEY)
+        )
         assert cluster.store.commit(transaction)
         self.write_inventory()
 
@@ -96,7 +98,7 @@
         self.cache.apply(self.cluster.store.revision, history[self.position :])
         self.position = len(history)
         detector, now = self.policy.detector, self.cluster.now
-        for node, inventory in self.cache.nodes.items():
+        for node, inventory in self.cache.inventories.items():
             if self.inventories.get(node) is not inventory:
                 self.inventories[node] = inventory
                 detector.record_write(node, now)
@@ -111,7 +113,7 @@
         self.read()
         transaction = Transaction(self.cache)
         inventory = MachineInventory(
-            self.own.term, 1.0, self.cache.revision, {}, SCHEMA_V2, self.own.term
+            self.own.incarnation, 1.0, self.cache.revision, {}, SCHEMA_V2, self.own.incarnation
         )
         changes = inventory_changes(transaction, self.name, inventory, VALUE_BYTES)
         put_inventory(transaction, self.name, changes, 1, MAX_OPERATIONS)
@@ -142,8 +144,8 @@
     def send_heartbeat(self, store_reachable: bool) -> None:
         detector = self.policy.detector
         status = PeerStatus(
-            incarnation=self.own.term,
-            fencing_token=self.own.term,
+            incarnation=self.own.incarnation,
+            fencing_token=self.own.incarnation,
             store_reachable=store_reachable,
             late_s=detector.late_s,
             agents=None,
@@ -239,9 +241,9 @@
         for name in self.names:
             node = self.nodes.get(name)
             since = self._crashed_at.get(name, self.now) if node is None else node.renewed_at
-            if self.now - since > LEASE_S and NODE + name in self.store.items:
+            if self.now - since > LEASE_S and INVENTORY_PREFIX + name in self.store.items:
                 self.store.revision += 1
-                self.store.set(NODE + name, None)
+                self.store.set(INVENTORY_PREFIX + name, None)
 
     def run(self, seconds: float, check: Callable[[], None] = lambda: None) -> None:
         """Go on for so long, with a check after each step."""
@@ -273,7 +275,7 @@
         found = dict.fromkeys(self.teams, 0)
         last: dict[str, str] = {}
         for index, (key, value, _) in enumerate(self.store.history):
-            team = key.removeprefix(TEAM)
+            team = key.removeprefix(TEAM_PREFIX)
             if team == key:
                 continue
             node = read_team(value).node  # type: ignore[union-attr]
--- a/tests/membership/test_failure_detector.py
+++ b/tests/membership/test_failure_detector.py
@@ -107,7 +107,7 @@
     detector.record_heartbeat("c", observing_b(20.0, refused=True), later)
     detector.record_connection("b", True)
     for _ in range(3):
-        detector.came_over("b", later)
+        detector.record_agent_failover("b", later)
     found = detector.assess("b", later)
     assert found.level is HealthLevel.SUSPECT and found.witnesses == 4 and found.all_refused
 
@@ -124,7 +124,7 @@
     later = now + 8.0
     detector.record_heartbeat("c", observing_b(8.0), later)
     for _ in range(3):
-        detector.came_over("b", later)
+        detector.record_agent_failover("b", later)
     assert detector.assess("b", later).evidence == (
         "not heard for 8.0 s, c not for 8.0 s, its summary is overdue, 3 machines came over"
     )
--- a/tests/membership/test_roster_state_space.py
+++ b/tests/membership/test_roster_state_space.py
@@ -129,7 +129,7 @@
             yield call(*args)  # type: ignore[operator]
 
     yield from tried(roster_transitions.join, records, name, node.incarnation, 0.0, [TEAM])
-    if me is None or me.term != node.incarnation:
+    if me is None or me.incarnation != node.incarnation:
         return
     yield from tried(roster_transitions.refute, records, name, node.incarnation)
     if me.state != IN:
@@ -239,7 +239,8 @@
                     store = apply(store, sent)
         assignment, member = store.assignment, dict(store.roster).get(store.assignment.node)
         lives = (
-            nodes[assignment.node].alive and nodes[assignment.node].incarnation == assignment.term
+            nodes[assignment.node].alive
+            and nodes[assignment.node].incarnation == assignment.incarnation
         )
         if lives and member is not None and member.state == IN:
             return round_number
@@ -252,7 +253,7 @@
     """What a controller does that knows which others live, as `policy` decides; one change a round."""
     records = store.records
     me = records.roster.get(name)
-    if me is None or me.state == OUT or me.term != incarnation:
+    if me is None or me.state == OUT or me.incarnation != incarnation:
         yield roster_transitions.join(records, name, incarnation, 0.0, [TEAM])
     elif me.state == SUSPECT:
         yield roster_transitions.refute(records, name, incarnation)
--- a/tests/peers/test_peer_transport.py
+++ b/tests/peers/test_peer_transport.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 
-from sandladder.config import Peer
+from sandladder.config import PeerAddress
 from sandladder.transport import ChangeNotice, PeerConnection, PeerHeartbeat, peer_transport
 from sandladder.transport.peer_messages import MAX_FRAME_BYTES, Message, encode_frame
 
@@ -46,7 +46,7 @@
 
     def __init__(self, addr: str) -> None:
         self.changes: list[tuple[str, bool]] = []
-        peer = Peer(node_name="node-1", addr=addr)
+        peer = PeerAddress(node_name="node-1", addr=addr)
         self.connection = PeerConnection(
             peer, INTERVAL_S, lambda node, refused: self.changes.append((node, refused))
         )
--- a/tests/scheduling_scenes.py
+++ b/tests/scheduling_scenes.py
@@ -18,7 +18,7 @@
     ]
     commit_placements(cluster_view.cache, job, placements)
     for machine in dict.fromkeys(machines):
-        cluster_view.touch(machine)
+        cluster_view.machine_changed(machine)
     return cluster_view.cache.jobs[job.id]
 
 
@@ -37,15 +37,17 @@
     assert end(transaction, [EndedAttempt(job.id, n, live[n], "done") for n in live], 0.0)
     commit(cache, transaction)
     for machine in {attempt.machine for attempt in live.values()}:
-        cluster_view.touch(machine)
+        cluster_view.machine_changed(machine)
 
 
 def send_heartbeats(cluster_view: ClusterView, seq: int) -> None:
     """All machines send a heartbeat, with this sequence number, now."""
     for name, kind, zone in MACHINES:
         heartbeat = AgentHeartbeat(name, f"{name}:1", kind, zone, False, 1, seq, 1, None, ())
-        result = cluster_view.reconciler.heard(heartbeat, cluster_view.now, direct=False)
-        cluster_view.heard(result.agent)
+        result = cluster_view.reconciler.receive_heartbeat(
+            heartbeat, cluster_view.now, direct=False
+        )
+        cluster_view.record_heartbeat(result.agent)
 
 
 def withdraw_all(gate: Gate) -> None:
--- a/tests/simulation/controllers.py
+++ b/tests/simulation/controllers.py
@@ -57,7 +57,7 @@
             """Let the simulation use a controller of the version in production like today's."""
             self.cache, self.job_api = self.mirror, self.users
             self.heartbeat_interval_s = self.beat_s
-            self.peers.heartbeat, self.peers.handle = self.peers.beat, self.peers.hear
+            self.peers.heartbeat, self.peers.receive = self.peers.beat, self.peers.hear
             if hasattr(self.peers, "_link_changed"):
                 self.peers.connection_changed = self.peers._link_changed
 
--- a/tests/simulation/peer_connection.py
+++ b/tests/simulation/peer_connection.py
@@ -79,4 +79,4 @@
             detail = f"{self._target} cannot read {body!r}: {error}"
             self._shared.record_violation("mesh", detail)
         else:
-            node.on_processor(lambda: node.peers.handle(message))
+            node.on_processor(lambda: node.peers.receive(message))
--- a/tests/test_agent_service.py
+++ b/tests/test_agent_service.py
@@ -18,14 +18,14 @@
 from sandladder.agents.command_sender import CommandSender
 from sandladder.agents.lease_renewal import LeaseRenewer
 from sandladder.concurrency import BackgroundTasks
-from sandladder.config import WorkerSettings
+from sandladder.config import AgentSettings
 from sandladder.jobs import cancel, start
 from sandladder.model import AgentHeartbeat, Placement
 from sandladder.state import StateCache, Transaction
 from sandladder.transport import HttpError, Request, Response
 
 TOKEN = 5
-WORKERS = WorkerSettings(report_s=0.04, lease_s=0.2, cancel_s=80.0)
+WORKERS = AgentSettings(report_s=0.04, lease_s=0.2, cancel_s=80.0)
 
 
 def heartbeat(seq: int = 1, token: int = TOKEN) -> AgentHeartbeat:
@@ -78,11 +78,13 @@
         transaction = Transaction(self.cache)
         start(transaction, "job-000001", [Placement(0, "vm-1", "north", 1)], LIMITS)
         commit(self.cache, transaction)
-        self.reconciler.new_term(TOKEN)
-        self.session = self.reconciler.heard(heartbeat(), clock.now(), direct=False).agent
+        self.reconciler.adopt_fencing_token(TOKEN)
+        self.session = self.reconciler.receive_heartbeat(
+            heartbeat(), clock.now(), direct=False
+        ).agent
         self.session.synced = True
         self.guard = LeaseRenewalGuard("node-0", ["node-1"], 1, WORKERS)
-        self.guard.read(clock.now())
+        self.guard.record_store_read(clock.now())
         self.ended = []
         expiry = LeaseExpiryProof("node-0", ["node-0"], WORKERS.lease_s, clock.now())
         self.sender = CommandSender(
@@ -110,7 +112,7 @@
 
     def _receive(self, heartbeat: AgentHeartbeat, *, direct: bool) -> None:
         assert direct
-        self.reconciler.heard(heartbeat, clock.now(), direct=direct)
+        self.reconciler.receive_heartbeat(heartbeat, clock.now(), direct=direct)
 
 
 def run(agent: ScriptedAgent, steps: Callable[[Scene], Awaitable[None]]) -> None:
@@ -138,11 +140,11 @@
         scene.sender.send_commands(scene.session)
         assert scene.session.command_in_flight
         await scene.finish_sending()
-        scene.guard.read(clock.now())
+        scene.guard.record_store_read(clock.now())
         assert scene.session.stale_start_token == TOKEN
         assert scene.session.late_start_known_until == known_until
-        scene.reconciler.new_term(TOKEN + 1)
-        scene.reconciler.heard(heartbeat(2, TOKEN + 1), clock.now(), direct=False)
+        scene.reconciler.adopt_fencing_token(TOKEN + 1)
+        scene.reconciler.receive_heartbeat(heartbeat(2, TOKEN + 1), clock.now(), direct=False)
         assert not scene.session.start_may_be_late
         assert scene.session.late_start_known_until == math.inf
 
@@ -241,13 +243,13 @@
         expiry = LeaseExpiryProof("node-0", ["node-0"], WORKERS.lease_s, clock.now())
         controller_lease = SimpleNamespace(alive=lambda: True)
         renewer = LeaseRenewer(controller_lease, guard, expiry)
-        agent = Reconciler().heard(heartbeat(), clock.now(), direct=False).agent
+        agent = Reconciler().receive_heartbeat(heartbeat(), clock.now(), direct=False).agent
         assert not renewer.permitted() and not renewer.renew(agent)
-        assert expiry.machines() == []
-        guard.read(clock.now())
+        assert expiry.answered_machines() == []
+        guard.record_store_read(clock.now())
         assert renewer.permitted() and renewer.renew(agent)
-        assert expiry.machines() == ["vm-1"]
-        agent.late_start_known_until = clock.now() - WORKERS.knowledge_s - 0.1
+        assert expiry.answered_machines() == ["vm-1"]
+        agent.late_start_known_until = clock.now() - WORKERS.cancellation_knowledge_age_s - 0.1
         assert renewer.permitted() and not renewer.renew(agent)
         agent.late_start_known_until = math.inf
         controller_lease.alive = lambda: False
@@ -272,7 +274,7 @@
     """Seen in a measured day: one took its own isolation for the agents' silence, and 136 machines
     were returned.
     """
-    membership = SimpleNamespace(heard_elsewhere=lambda: others_have_agents)
+    membership = SimpleNamespace(agents_report_elsewhere=lambda: others_have_agents)
     group = SimpleNamespace(node="node-0", membership=membership)
     cluster = SimpleNamespace(observation=lambda machine: None, fresh_s=2.5 * WORKERS.report_s)
 
--- a/tests/test_autoscaler.py
+++ b/tests/test_autoscaler.py
@@ -21,7 +21,7 @@
 from sandladder.model import AgentHeartbeat, ListedMachine, Machine
 from sandladder.scheduling import ClusterView
 from sandladder.state import (
-    RENTER,
+    AUTOSCALER_KEY,
     LeaseExpiredError,
     PendingChange,
     PreconditionFailedError,
@@ -104,7 +104,7 @@
     def write(self, node: str) -> None:
         """Let a process of some controller write the autoscaler's key."""
         version = self.cache.revision + 1
-        self.cache.apply(version, [(RENTER, node, version)])
+        self.cache.apply(version, [(AUTOSCALER_KEY, node, version)])
 
 
 def test_a_free_lease_is_acquired_once_and_renewed_in_time() -> None:
@@ -206,7 +206,7 @@
         assert "vm-000003" not in cache.instances
         assert records.record("vm-000003") == record(ACTIVE)
         # A task is recorded on the first: that its instance is gone proves that it is lost.
-        cache.on_machine["vm-000001"] = {("job-000001", 0): None}
+        cache.attempts_by_machine["vm-000001"] = {("job-000001", 0): None}
         records.note({"vm-000001": record(GONE)})
         await records.flush()
         assert cache.instances["vm-000001"].state == GONE and "vm-000003" in cache.instances
@@ -310,7 +310,9 @@
     cluster_view.now = 100.0
     for name in names[:responsive]:
         heartbeat = AgentHeartbeat(name, f"{name}:1", "small", "north", True, 1, 1, 1, None, ())
-        cluster_view.heard(reconciler.heard(heartbeat, 100.0, direct=False).agent)
+        cluster_view.record_heartbeat(
+            reconciler.receive_heartbeat(heartbeat, 100.0, direct=False).agent
+        )
     return cluster_view, booted
 
 
@@ -336,11 +338,11 @@
 def test_a_boot_is_overdue_after_four_times_the_usual() -> None:
     _, _, cache, _ = scene()  # both types boot in 9 seconds
     booting = ListedMachine("vm-1", "small", "north", True, "booting", 36.0, "vm-1:1")
-    assert not boot_is_overdue(booting, cache.types)
-    assert boot_is_overdue(booting._replace(age_s=36.1), cache.types)
-    assert not boot_is_overdue(booting._replace(age_s=99.0, state="running"), cache.types)
-    assert not boot_is_overdue(booting._replace(age_s=240.0, type="unknown"), cache.types)
-    assert boot_is_overdue(booting._replace(age_s=240.1, type="unknown"), cache.types)
+    assert not boot_is_overdue(booting, cache.machine_types)
+    assert boot_is_overdue(booting._replace(age_s=36.1), cache.machine_types)
+    assert not boot_is_overdue(booting._replace(age_s=99.0, state="running"), cache.machine_types)
+    assert not boot_is_overdue(booting._replace(age_s=240.0, type="unknown"), cache.machine_types)
+    assert boot_is_overdue(booting._replace(age_s=240.1, type="unknown"), cache.machine_types)
 
 
 def test_an_offer_is_refused_for_as_long_as_was_said() -> None:
--- a/tests/test_autoscaling.py
+++ b/tests/test_autoscaling.py
@@ -32,15 +32,17 @@
 def observe_machine(cluster_view: ClusterView, name: str, type_name: str, zone: str) -> None:
     """Have an on-demand machine send its first heartbeat."""
     heartbeat = AgentHeartbeat(name, f"{name}:1", type_name, zone, False, 1, 1, 1, None, ())
-    agent = cluster_view.reconciler.heard(heartbeat, cluster_view.now, direct=False).agent
-    cluster_view.heard(agent)
+    agent = cluster_view.reconciler.receive_heartbeat(
+        heartbeat, cluster_view.now, direct=False
+    ).agent
+    cluster_view.record_heartbeat(agent)
 
 
 def scene_with_gpus(machines: dict[str, str]):
     """The scene with machines that have GPUs, by name and zone."""
     cluster_view, planner, cache, _ = scene()
-    cluster_view.limits["red"] = TeamLimits("red")
-    cache.types["gpu"] = GPU_TYPE
+    cluster_view.team_limits["red"] = TeamLimits("red")
+    cache.machine_types["gpu"] = GPU_TYPE
     for name, zone in machines.items():
         observe_machine(cluster_view, name, "gpu", zone)
     return cluster_view, planner, cache
@@ -49,7 +51,7 @@
 def requested_instances(cluster_view: ClusterView) -> dict[tuple[str, str], int]:
     """How many instances are asked for, by type and zone."""
     found: Counter[tuple[str, str]] = Counter()
-    for request in ScalingPolicy(cluster_view).rental_requests(0.0):
+    for request in ScalingPolicy(cluster_view).scale_out_requests(0.0):
         found[request.type, request.zone] += request.number
     return dict(found)
 
@@ -57,14 +59,14 @@
 def test_one_request_per_offer_and_none_for_instances_still_to_be_written() -> None:
     """Seen in a measured day: five requests of 50 for one offer at once, and all of them again."""
     cluster_view, _, cache, _ = scene()
-    cluster_view.limits["red"] = TeamLimits("red")
+    cluster_view.team_limits["red"] = TeamLimits("red")
     accept(cache, entries=2000, vcpus=4.0, ram_gb=1.0, rank="urgent")
-    requests = ScalingPolicy(cluster_view).rental_requests(0.0)
+    requests = ScalingPolicy(cluster_view).scale_out_requests(0.0)
     offers = [(request.type, request.zone, request.spot) for request in requests]
     assert offers and len(offers) == len(set(offers))
     cluster_view, _, cache, _ = scene()
     accept(cache, entries=12, vcpus=4.0, ram_gb=1.0, rank="urgent")
-    requested = ScalingPolicy(cluster_view).rental_requests(0.0)
+    requested = ScalingPolicy(cluster_view).scale_out_requests(0.0)
     unwritten = {
         f"vm-{request.zone}-{request.type}-{number}": Machine(
             request.type, request.zone, request.spot, ACTIVE, 0.0
@@ -73,7 +75,7 @@
         for number in range(request.number)
     }
     assert unwritten
-    assert ScalingPolicy(cluster_view).rental_requests(0.0, unwritten) == []
+    assert ScalingPolicy(cluster_view).scale_out_requests(0.0, unwritten) == []
 
 
 def test_work_without_gpus_leaves_the_machines_with_gpus_alone() -> None:
@@ -90,9 +92,9 @@
     assert where == {"vm-1", "vm-2", taken}
     # Nor is any asked for on its behalf, whatever else is refused.
     policy = ScalingPolicy(cluster_view)
-    for request in policy.rental_requests(0.0):
+    for request in policy.scale_out_requests(0.0):
         policy.note_refused(request)
-    assert not any(request.type == "gpu" for request in policy.rental_requests(0.0))
+    assert not any(request.type == "gpu" for request in policy.scale_out_requests(0.0))
 
 
 def test_what_gpus_in_use_leave_of_their_machine_may_be_used() -> None:
@@ -113,7 +115,7 @@
     lease_s = cluster_view.settings.platform.deployment.workers.lease_s
     planner.plan([small], {})
     assert not [i for i in cluster_view.gate.pending.values() if i.placement.machine == "vm-8"]
-    cluster_view.ahead = 4 * lease_s + 1.0
+    cluster_view.wall_offset_s = 4 * lease_s + 1.0
     planner.plan([small], {})
     assert [i for i in cluster_view.gate.pending.values() if i.placement.machine == "vm-8"]
 
@@ -146,9 +148,9 @@
     assert len(found) == 1 and list(found.values()) == [2]
     # Where one zone's offers are refused, the other is filled.
     policy = ScalingPolicy(cluster_view)
-    (first,) = policy.rental_requests(0.0)
+    (first,) = policy.scale_out_requests(0.0)
     policy.note_refused(first)
-    (second,) = policy.rental_requests(0.0)
+    (second,) = policy.scale_out_requests(0.0)
     assert second.zone != first.zone and second.number == 2
 
 
@@ -218,9 +220,9 @@
 
     monkeypatch.setattr(scale_out, "cheapest_offer", counted)
     cluster_view, _, cache, _ = scene()
-    cluster_view.limits["red"] = TeamLimits("red")
+    cluster_view.team_limits["red"] = TeamLimits("red")
     accept(cache, entries=8000, vcpus=2.0, ram_gb=1.0, rank="urgent")
-    requested = ScalingPolicy(cluster_view).rental_requests(0.0)
+    requested = ScalingPolicy(cluster_view).scale_out_requests(0.0)
     assert sum(request.number for request in requested) >= 50
     assert 0 < chosen <= 150
 
@@ -230,25 +232,25 @@
 ) -> None:
     """However many jobs wait, the machines are gone through for each likeness, not each job."""
     looked: Counter[int] = Counter()
-    fill = bin_packing.fill
+    fill = bin_packing.pack
 
     def counted(spec, count, bins, *rest, **named):
         looked[jobs] += bool(count) and len(bins) > 100
         return fill(spec, count, bins, *rest, **named)
 
     for module in (waiting_work, headroom, scale_out):
-        monkeypatch.setattr(module, "fill", counted)
+        monkeypatch.setattr(module, "pack", counted)
     for jobs in (20, 200):
         cluster_view, _, cache, _ = scene()
-        cluster_view.limits = {}
+        cluster_view.team_limits = {}
         for number in range(150):
             observe_machine(cluster_view, f"vm-{number:06d}", "small", "north")
-        cluster_view.limits["red"] = TeamLimits("red", 1e6, 1e6, 0.0, 0.0)
+        cluster_view.team_limits["red"] = TeamLimits("red", 1e6, 1e6, 0.0, 0.0)
         for number in range(jobs):
             transaction = Transaction(cache)
             wide = number % 2
             submit(transaction, spec(number, entries=40, vcpus=2.0 + wide, ram_gb=1.0), 0.0)
             commit(cache, transaction)
-        requests = ScalingPolicy(cluster_view).rental_requests(0.0)
+        requests = ScalingPolicy(cluster_view).scale_out_requests(0.0)
         assert sum(request.number for request in requests) > 0
     assert 0 < looked[200] <= looked[20]
--- a/tests/test_cancelled.py
+++ b/tests/test_cancelled.py
@@ -26,7 +26,7 @@
 def accepts_token(cluster: SimulatedCluster, worker: Worker) -> bool:
     """Whether a worker accepts the fencing token of the controller that it reports to."""
     node = cluster.nodes.get(f"node-{worker.reporting_controller}")
-    agent = node.reconciler.machines.get(worker.name) if node is not None else None
+    agent = node.reconciler.agents.get(worker.name) if node is not None else None
     return agent is not None and agent.accepts_token and agent.synced
 
 
--- a/tests/test_cancelled_during_reassignment.py
+++ b/tests/test_cancelled_during_reassignment.py
@@ -6,7 +6,7 @@
 import pytest
 
 from sandladder.model import SUSPECT
-from sandladder.state import ROSTER
+from sandladder.state import ROSTER_KEY
 from simulation import LEASE_S, SimulatedCluster, job, now
 from simulation.fault_scenarios import (
     CANCEL_S,
@@ -80,7 +80,7 @@
 
 def suspected(cluster: SimulatedCluster, index: int) -> bool:
     """Whether the agreed roster says that this controller is under suspicion."""
-    roster = cluster.store.items.get(ROSTER, ({}, 0, None))[0]
+    roster = cluster.store.items.get(ROSTER_KEY, ({}, 0, None))[0]
     member = roster.get(f"node-{index}")
     return member is not None and SUSPECT in member
 
--- a/tests/test_combined_faults.py
+++ b/tests/test_combined_faults.py
@@ -27,7 +27,8 @@
         node = cluster.nodes.get(f"node-{index}")
         if node is not None:
             ends = sum(
-                len(node.reconciler.ends(d, node.cache)) for d in node.reconciler.machines.values()
+                len(node.reconciler.proved_ends(d, node.cache))
+                for d in node.reconciler.agents.values()
             )
             cluster.observed["end proved, not committed"] += ends
         cluster.store.refused_sources = set()
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -19,9 +19,9 @@
     SchedulingPriority,
     TeamAssignment,
 )
-from sandladder.protocol import wire
+from sandladder.protocol import MalformedMessageError, job_messages
 from sandladder.scheduling import Outcome, PremiseKind
-from sandladder.state import PreconditionFailedError, StateCache, Transaction, job_value, load_job
+from sandladder.state import PreconditionFailedError, StateCache, Transaction, job_value, read_job
 from simulation import SimulatedCluster, job, now, run
 from simulation.faults import (
     Fault,
@@ -80,22 +80,22 @@
     dependency_index = cache.dependency_index
     place = [Placement(0, "vm-1", "north", 1)]
     for awaited, at in ((one, 20.0), (two, 35.0)):
-        assert dependency_index.fate(cache.jobs[last.id]) is DependencyOutcome.WAITING
+        assert dependency_index.outcome(cache.jobs[last.id]) is DependencyOutcome.WAITING
         with pytest.raises(PreconditionFailedError):
             start(Transaction(cache), last.id, place, LIMITS, ME)
         complete(cache, awaited, at)
-    assert dependency_index.fate(cache.jobs[last.id]) is DependencyOutcome.READY
+    assert dependency_index.outcome(cache.jobs[last.id]) is DependencyOutcome.READY
     transaction = Transaction(cache)
     assert archive_job(transaction, one.id) and transaction.size == 2
     commit(cache, transaction)
-    assert cache.finished_jobs[one.id].filed and set(cache.unarchived) == {two.id}
-    assert dependency_index.since(cache.jobs[last.id]) == 35.0
+    assert cache.finished_jobs[one.id].archived and set(cache.unarchived) == {two.id}
+    assert dependency_index.ready_since(cache.jobs[last.id]) == 35.0
     transaction = Transaction(cache)
     start(transaction, last.id, place, LIMITS, ME)
     # The commit is bound to what says that they are done, wherever that stands.
     assert {f"s/f/{one.id}", f"s/j/{two.id}"} <= transaction.expected_versions.keys()
     commit(cache, transaction)
-    started = load_job(cbor2.loads(cbor2.dumps(job_value(cache.jobs[last.id]))))
+    started = read_job(cbor2.loads(cbor2.dumps(job_value(cache.jobs[last.id]))))
     assert (
         started.dependencies == () and started.ready == 35.0 and not dependency_index.unresolved()
     )
@@ -106,16 +106,18 @@
     cluster_view, planner, cache, _ = scene()
     use_second_schema(cache)
     last = add(cache, 3, "job-000001", entries=1)
-    assert cache.dependency_index.fate(last) is DependencyOutcome.UNKNOWN
+    assert cache.dependency_index.outcome(last) is DependencyOutcome.UNKNOWN
     assert cache.dependency_index.unresolved() == ["job-000001"]
     assert planner.plan([last], {}) == []
-    cache.remember("job-000001", FinishedJob("done", 2, 21.0, 4))
+    cache.add_finished_job("job-000001", FinishedJob("done", 2, 21.0, 4))
     pending_start = planner.plan([cache.jobs[last.id]], {})[0]
     gate = cluster_view.gate
-    assert gate.changed([("job", "job-000001")], cluster_view)[0].outcome is Outcome.KEEP
+    assert gate.revalidate([("job", "job-000001")], cluster_view)[0].outcome is Outcome.KEEP
     cache.dependency_index._finished.clear()
-    verdict = gate.changed([("job", "job-000001")], cluster_view)[0]
-    assert verdict.outcome is Outcome.BLOCK and verdict.reason is PremiseKind.DEPENDENCY_DONE
+    verdict = gate.revalidate([("job", "job-000001")], cluster_view)[0]
+    assert (
+        verdict.outcome is Outcome.BLOCK and verdict.failed_premise is PremiseKind.DEPENDENCY_DONE
+    )
     assert pending_start.key not in gate.pending
 
 
@@ -186,7 +188,7 @@
         self.rng.shuffle(items)
         other.reset(2, items)
         for name in other.dependency_index.unresolved():
-            other.remember(name, self.cache.finished_jobs[name])
+            other.add_finished_job(name, self.cache.finished_jobs[name])
         return other
 
 
@@ -200,17 +202,17 @@
             history.step(float(step))
             cancelled_while_running += any(job.cancelled for job in cache.jobs.values())
             for job_id, found in cache.jobs.items():
-                outcome = cache.dependency_index.fate(found)
+                outcome = cache.dependency_index.outcome(found)
                 cancelled = history.must_be_cancelled(job_id)
-                assert (outcome is DependencyOutcome.DOOMED) == cancelled, (seed, job_id)
+                assert (outcome is DependencyOutcome.CANCELLED) == cancelled, (seed, job_id)
                 if outcome is DependencyOutcome.READY:
                     names = history.dependencies[job_id]
                     assert all(history.final_state(name) == "done" for name in names)
             other = history.cache_filled_now()
             assert not other.dependency_index.unresolved()
             for job_id, found in other.jobs.items():
-                expected = cache.dependency_index.fate(cache.jobs[job_id])
-                assert other.dependency_index.fate(found) is expected, (seed, job_id)
+                expected = cache.dependency_index.outcome(cache.jobs[job_id])
+                assert other.dependency_index.outcome(found) is expected, (seed, job_id)
     assert cancelled_while_running > 100
 
 
@@ -219,7 +221,7 @@
     use_second_schema(cache)
     first = add(cache, 1, rank="idle")
     middle = add(cache, 2, first.id, rank="normal")
-    outlook = cache.dependency_index.outlook
+    outlook = cache.dependency_index.scheduling_priority
     assert outlook(first, lambda s: 5.0) == SchedulingPriority(1, float("inf"))
     last = add(cache, 3, middle.id, rank="urgent", due_s=60.0)
     assert outlook(first, lambda s: 5.0) == SchedulingPriority(2, 60.0)
@@ -238,9 +240,9 @@
         value = job_value(Job(spec(one), 0.0, (f"job-{other:06d}",)))
         cache.apply(cache.revision + 1, [(f"s/j/job-{one:06d}", value, cache.revision + 1)])
     found = cache.jobs["job-000001"]
-    assert cache.dependency_index.fate(found) is DependencyOutcome.WAITING
-    assert cache.dependency_index.outlook(found, lambda s: 1.0).priority == 1
-    assert cache.dependency_index.uncertain(found) == []
+    assert cache.dependency_index.outcome(found) is DependencyOutcome.WAITING
+    assert cache.dependency_index.scheduling_priority(found, lambda s: 1.0).priority == 1
+    assert cache.dependency_index.unresolved_dependencies(found) == []
 
 
 def test_no_machine_is_scaled_out_for_jobs_whose_dependencies_are_unfinished() -> None:
@@ -251,18 +253,18 @@
     first = accept(cache, number=1, entries=1)
     add(cache, 2, first.id, entries=40, rank="urgent")
     policy = ScalingPolicy(cluster_view)
-    assert policy.rental_requests(1e6) == []
+    assert policy.scale_out_requests(1e6) == []
     assert {i.spec.id for i in planner.plan(list(cache.jobs.values()), {})} == {first.id}
 
 
 def test_malformed_dependencies_are_rejected() -> None:
-    assert wire.parse_job(cbor2.dumps(job(9, awaits=["job-000001"] * 2))).dependencies == (
-        "job-000001",
-    )
-    assert wire.parse_job(cbor2.dumps(job(9, awaits=[]))).dependencies == ()
+    assert job_messages.parse_submission(
+        cbor2.dumps(job(9, awaits=["job-000001"] * 2))
+    ).dependencies == ("job-000001",)
+    assert job_messages.parse_submission(cbor2.dumps(job(9, awaits=[]))).dependencies == ()
     for bad in ("job-000001", {"a": 1}, [7], ["nonsense"], [f"job-{n:06d}" for n in range(200)]):
-        with pytest.raises(wire.MalformedMessageError):
-            wire.parse_job(cbor2.dumps(job(9, awaits=bad)))
+        with pytest.raises(MalformedMessageError):
+            job_messages.parse_submission(cbor2.dumps(job(9, awaits=bad)))
 
 
 def test_submissions_with_dependencies_get_the_documented_answers() -> None:
--- a/tests/test_dependency_services.py
+++ b/tests/test_dependency_services.py
@@ -8,7 +8,7 @@
 from helpers import accept, commit, spec
 from sandladder import clock
 from sandladder.concurrency import BackgroundTasks, Signal
-from sandladder.config import WorkerSettings
+from sandladder.config import AgentSettings
 from sandladder.jobs import (
     DependencyResolver,
     DependentCanceller,
@@ -25,7 +25,7 @@
     finished_job_value,
 )
 
-WORKERS = WorkerSettings(report_s=3.0, lease_s=12.0, cancel_s=40.0)
+WORKERS = AgentSettings(report_s=3.0, lease_s=12.0, cancel_s=40.0)
 FIRST, DEPENDENT = "job-000001", "job-000002"
 
 
@@ -112,7 +112,7 @@
         assert committer.names == []
         anyio.run(cancel_at, 100.1 + wait_s)
     assert committer.names == [f"cancel {DEPENDENT}"]
-    assert cache.finished_jobs[DEPENDENT] == FinishedJob("cancelled", 0, 6.0, 4, filed=False)
+    assert cache.finished_jobs[DEPENDENT] == FinishedJob("cancelled", 0, 6.0, 4, archived=False)
     anyio.run(cancel_at, 300.0)
     assert len(committer.names) == 1
 
@@ -123,7 +123,7 @@
     store.records[f"s/f/{FIRST}"] = finished_job_value(final, SCHEMA_V2), 7
     resolver = resolver_of(store, cache)
     for _ in range(3):
-        found = anyio.run(resolver.finished_jobs, [FIRST])
+        found = anyio.run(resolver.read_finished_jobs, [FIRST])
         assert found == {FIRST: final._replace(version=7)}
     assert store.read == [f"s/f/{FIRST}"]
 
@@ -133,5 +133,5 @@
     store.failing = True
     names = [f"job-{number:06d}" for number in range(100)]
     with pytest.raises(StoreRequestError):
-        anyio.run(resolver_of(store, cache).finished_jobs, names)
+        anyio.run(resolver_of(store, cache).read_finished_jobs, names)
     assert len(store.read) < len(names)
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -8,7 +8,7 @@
 import anyio
 import pytest
 
-from sandladder.transport import Client, HttpError, Request, Response, Server
+from sandladder.transport import HttpClient, HttpError, HttpServer, Request, Response
 
 BODY_LIMIT = 1000
 READ_S = 0.2
@@ -39,10 +39,12 @@
 async def serving() -> AsyncIterator[int]:
     """A server that answers; its port."""
     port = free_port()
-    server = Server(echo, body_limit=BODY_LIMIT, idle_s=20.0, read_s=READ_S, most=MOST_CONNECTIONS)
+    server = HttpServer(
+        echo, body_limit=BODY_LIMIT, idle_s=20.0, read_s=READ_S, most=MOST_CONNECTIONS
+    )
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(server.serve, "127.0.0.1", port)
-        client = Client("127.0.0.1", port)
+        client = HttpClient("127.0.0.1", port)
         with anyio.fail_after(5.0):
             while True:
                 try:
@@ -61,7 +63,7 @@
     async def main() -> None:
         async with serving() as port:
             await test(port)
-            client = Client("127.0.0.1", port)
+            client = HttpClient("127.0.0.1", port)
             for _ in range(3):
                 response = await client.request("POST", "/", b"hello", timeout=5.0)
                 assert response == Response(200, b"POST hello")
@@ -136,7 +138,7 @@
 
 def test_a_handler_that_fails_ends_its_own_connection_alone() -> None:
     async def test(port: int) -> None:
-        client = Client("127.0.0.1", port)
+        client = HttpClient("127.0.0.1", port)
         with pytest.raises(HttpError):
             await client.request("GET", "/broken", timeout=5.0)
 
@@ -145,7 +147,7 @@
 
 def test_retry_after_reaches_the_client() -> None:
     async def test(port: int) -> None:
-        client = Client("127.0.0.1", port)
+        client = HttpClient("127.0.0.1", port)
         response = await client.request("GET", "/busy", timeout=5.0)
         assert response == Response(503, b"", 7)
         await client.aclose()
@@ -155,7 +157,7 @@
 
 def test_a_request_without_a_response_in_time_is_an_error() -> None:
     async def test(port: int) -> None:
-        client = Client("127.0.0.1", port)
+        client = HttpClient("127.0.0.1", port)
         with pytest.raises(HttpError, match="no answer within 0.1 s"):
             await client.request("GET", "/never", timeout=0.1)
 
@@ -164,7 +166,7 @@
 
 def test_a_refused_connection_is_an_error() -> None:
     async def main() -> None:
-        client = Client("127.0.0.1", free_port())
+        client = HttpClient("127.0.0.1", free_port())
         with pytest.raises(HttpError, match="Error"):
             await client.request("GET", "/", timeout=5.0)
 
--- a/tests/test_job_api.py
+++ b/tests/test_job_api.py
@@ -145,10 +145,10 @@
         self.notified: list[set[str]] = []
         self.announced = 0
 
-    def abler(self, schema_version: int = SCHEMA_V1) -> str | None:
+    def find_serving_peer(self, schema_version: int = SCHEMA_V1) -> str | None:
         return "node-1" if self._able is not None and self._able >= schema_version else None
 
-    async def relay(self, request: Request, peer: str) -> Response:
+    async def forward(self, request: Request, peer: str) -> Response:
         assert peer == "node-1"
         self.relayed.append(request)
         return OK_THERE
@@ -174,7 +174,7 @@
     """Have a request served by a forwarder, in virtual time; serving it here takes a while."""
 
     async def main() -> Response:
-        store = SimpleNamespace(ok_at=clock.now())
+        store = SimpleNamespace(last_answer_at=clock.now())
         forwarder = RequestForwarder(peers, store, lambda: reachable, REPORT_S)
 
         async def serve_here(request: Request) -> Response:
@@ -182,7 +182,7 @@
             while clock.now() < deadline:
                 await anyio.sleep(REPORT_S / 32)
                 if store_answers:
-                    store.ok_at = clock.now()
+                    store.last_answer_at = clock.now()
             return OK_HERE
 
         return await forwarder.serve(request, serve_here)
@@ -282,7 +282,7 @@
 def test_a_controller_is_healthy_unless_users_are_served_better_elsewhere(
     loaded: bool, types: bool, reachable: bool, able: int | None, status: int
 ) -> None:
-    cache, watch = SimpleNamespace(types={"small": 1} if types else {}), SimpleNamespace()
+    cache, watch = SimpleNamespace(machine_types={"small": 1} if types else {}), SimpleNamespace()
     watch.loaded = loaded
     health = HealthCheck(cache, watch, FakePeers(able), lambda: reachable)
 
@@ -312,12 +312,12 @@
                 raise self.refuses
             change.apply(transaction)
         except PreconditionFailedError as refusal:
-            change.settle(refusal)
+            change.resolve(refusal)
             return change
         written = [(key, value) for key, value, _ in transaction.changes()]
-        self._cache.wrote(self._cache.revision + 1, written)
+        self._cache.apply_own_commit(self._cache.revision + 1, written)
         self._cache.apply(self._cache.revision + 1, [])
-        change.settle()
+        change.resolve()
         return change
 
 
@@ -367,9 +367,9 @@
     async def resolve(self, names: list[str]) -> None:
         """As the dependency resolver."""
 
-    async def finished_jobs(self, names: list[str]) -> dict[str, FinishedJob | None]:
+    async def read_finished_jobs(self, names: list[str]) -> dict[str, FinishedJob | None]:
         """As the dependency resolver: what is not in memory was never accepted."""
-        return {name: self.cache.final(name) for name in names}
+        return {name: self.cache.finished_job(name) for name in names}
 
     def submit(self, number: int, **fields: Any) -> Answer:
         body = {k: v for k, v in (job(number) | fields).items() if v is not None}
@@ -430,7 +430,7 @@
 
 def test_a_submission_is_decided_later_while_the_machine_types_are_unknown() -> None:
     services = Services()
-    services.cache.types.clear()
+    services.cache.machine_types.clear()
     assert services.submit(1, vcpus=500.0) == RetryLater("the machine types are not known yet")
 
 
@@ -482,7 +482,7 @@
     accept(services.cache)
     services.committer.refuses = PreconditionFailedError("not live")
     assert services.cancel("job-000001") == RetryLater()
-    services.cache.remember("job-000001", FinishedJob(DONE, 2))
+    services.cache.add_finished_job("job-000001", FinishedJob(DONE, 2))
     assert services.cancel("job-000001") == KnownJob("job-000001", DONE)
 
 
--- a/tests/test_job_commits.py
+++ b/tests/test_job_commits.py
@@ -7,7 +7,7 @@
 from helpers import LIMITS, accept, commit, scene
 from sandladder import clock
 from sandladder.concurrency import Signal
-from sandladder.config import WorkerSettings
+from sandladder.config import AgentSettings
 from sandladder.jobs import cancel, start
 from sandladder.jobs.backoff import JobBackoff
 from sandladder.jobs.end_announcer import EndAnnouncer
@@ -19,7 +19,7 @@
 from sandladder.transport import peer_transport
 
 MAX_WAIT_S = 4.0
-WORKERS = WorkerSettings(report_s=3.0, lease_s=12.0, cancel_s=40.0)
+WORKERS = AgentSettings(report_s=3.0, lease_s=12.0, cancel_s=40.0)
 
 
 def started_job(cache: StateCache, tasks: int, running: Iterable[int]) -> Job:
@@ -110,7 +110,7 @@
         backoff.note(EndedAttempt(job.id, 0, attempt, AttemptOutcome.ERROR))
         delays.append(backoff.until[job.id] - cluster_view.now)
     assert delays == [1.0, 2.0, 4.0, 8.0, 16.0, 24.0, 24.0, 24.0]
-    assert planner.avoid[job.id] == {f"vm-{number}" for number in range(8)}
+    assert planner.failed_machines[job.id] == {f"vm-{number}" for number in range(8)}
     backoff.forget_expired(now=123.0)
     assert job.id in backoff.until
     backoff.forget_expired(now=124.0)
@@ -123,8 +123,8 @@
     backoff = JobBackoff(planner, WORKERS)
     for _ in range(5):
         backoff.note(ended(job, 0, AttemptOutcome.BUSY))
-    assert backoff.until[job.id] - cluster_view.now == 1.0 and not planner.avoid
-    capacity = cluster_view.capacity("vm-1")
+    assert backoff.until[job.id] - cluster_view.now == 1.0 and not planner.failed_machines
+    capacity = cluster_view.free_capacity("vm-1")
     assert capacity is not None and not capacity.usable
 
 
@@ -179,7 +179,7 @@
 
 
 def free_cpus(cluster_view: ClusterView) -> float:
-    capacity = cluster_view.capacity("vm-1")
+    capacity = cluster_view.free_capacity("vm-1")
     assert capacity is not None
     return capacity.cpus
 
@@ -188,7 +188,7 @@
     scenario = Announcing(monkeypatch, "node-1")
     before = free_cpus(scenario.cluster_view)
     for _ in range(3):
-        scenario.announcer.collect([ended(scenario.job, 0), ended(scenario.job, 1)])
+        scenario.announcer.collect_ends([ended(scenario.job, 0), ended(scenario.job, 1)])
     assert free_cpus(scenario.cluster_view) == pytest.approx(before + 0.2)
     assert scenario.peers.sent() == [1, 1] and scenario.committed == []
 
@@ -197,18 +197,18 @@
     scenario = Announcing(monkeypatch, "node-1")
     for assignee in ("node-1", "node-2", "node-2"):
         scenario.peers.assigned_to = assignee
-        scenario.announcer.collect([ended(scenario.job, 0)])
+        scenario.announcer.collect_ends([ended(scenario.job, 0)])
     assert scenario.peers.sent() == [1, 2]
 
 
 def test_an_end_that_its_assignee_does_not_commit_in_time_is_committed_here(monkeypatch) -> None:
     scenario = Announcing(monkeypatch, "node-1")
-    scenario.announcer.collect([ended(scenario.job, 0)])
+    scenario.announcer.collect_ends([ended(scenario.job, 0)])
     scenario.now += 3 * MAX_WAIT_S
-    scenario.announcer.collect([ended(scenario.job, 0)])
+    scenario.announcer.collect_ends([ended(scenario.job, 0)])
     assert scenario.committed == []
     scenario.now += 0.1
-    scenario.announcer.collect([ended(scenario.job, 0)])
+    scenario.announcer.collect_ends([ended(scenario.job, 0)])
     assert scenario.committed == [0]
 
 
@@ -225,7 +225,7 @@
 
 def test_what_was_proved_long_ago_is_forgotten(monkeypatch) -> None:
     scenario = Announcing(monkeypatch, "node-0")
-    scenario.announcer.collect([ended(scenario.job, 0)])
+    scenario.announcer.collect_ends([ended(scenario.job, 0)])
     scenario.announcer.forget(now=57.9, after_s=48.0)
     assert len(scenario.announcer.proved) == 1
     scenario.announcer.forget(now=58.0, after_s=48.0)
--- a/tests/test_large_and_small_jobs.py
+++ b/tests/test_large_and_small_jobs.py
@@ -140,7 +140,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """For minutes; a quarter is cancelled.  What each costs and what is kept of them stays bounded."""
-    monkeypatch.setattr(job_tables, "FINALS_KEPT", 64)
+    monkeypatch.setattr(job_tables, "FINISHED_JOBS_KEPT", 64)
     cluster = SimulatedCluster(1240, cancel_s=CANCEL_S, write_rps=60.0)
     cluster.store.write_rps = 60.0
     kept: Counter[str] = Counter()
@@ -158,10 +158,10 @@
             "finished jobs": len(cache.finished_jobs),
             "live": len(cache.jobs),
             "versions": len(cache.versions),
-            "proved": len(work._proved),
+            "proved": len(work.proved_ends),
             "unarchived": len(cache.unarchived),
             "queue": node.committer.queued,
-            "avoid": len(node.planner.avoid),
+            "avoid": len(node.planner.failed_machines),
             "gate": len(node.gate.pending),
         }  # fmt: skip
 
--- a/tests/test_lease_expiry.py
+++ b/tests/test_lease_expiry.py
@@ -14,7 +14,7 @@
     for seed in range(300):
         rng = Random(seed)
         proof = LeaseExpiryProof("a", ["a", "b", "c"], LEASE_S, 0.0)
-        proof.observe({}, 0.0)
+        proof.observe_inventories({}, 0.0)
         proof.observe_sessions({"vm": [1]}, 0.0)
         answers: list[float] = [0.0]
         last = {"b": 0.0, "c": 0.0}
@@ -45,8 +45,8 @@
                 if item[0] <= now:
                     nodes[item[1]] = item[2]
                     pending.remove(item)
-            proof.observe(dict(nodes), now)
-            proof.synced(now, revision)
+            proof.observe_inventories(dict(nodes), now)
+            proof.record_store_read(now, revision)
             if proof.has_expired("vm", 1, now):
                 proved += 1
                 gaps = [b - a for a, b in zip(answers, [*answers[1:], now], strict=True)]
@@ -64,8 +64,8 @@
     proof.observe_sessions({"old": [1]}, 0.0)
     for second in range(1, 51):
         now = float(second)
-        proof.observe({"b": MachineInventory(1, now, second - 1, {})}, now)
-        proof.synced(now, second)
+        proof.observe_inventories({"b": MachineInventory(1, now, second - 1, {})}, now)
+        proof.record_store_read(now, second)
     assert proof.has_expired("old", 1, 50.0)
     proof.observe_sessions({"old": [1], "new": [1]}, 50.0)
     assert proof.has_expired("old", 1, 50.0)
@@ -73,8 +73,8 @@
         assert not proof.has_expired("new", 1, float(second))
     # Once inventories are made long enough after its beginning, it is proved like any other.
     for second in range(90, 102):
-        proof.observe({"b": MachineInventory(1, second, second - 1, {})}, float(second))
-        proof.synced(float(second), second)
+        proof.observe_inventories({"b": MachineInventory(1, second, second - 1, {})}, float(second))
+        proof.record_store_read(float(second), second)
     assert proof.has_expired("new", 1, 102.0)
     proof.observe_sessions({"old": [1]}, 102.0)
     assert not proof.has_expired("old", 2, 90.0)
@@ -85,7 +85,7 @@
     proof = LeaseExpiryProof("a", nodes, LEASE_S, 0.0, 7)
     proof.observe_sessions({"vm": [1]}, 0.0)
     for second in range(1, 31):
-        proof.synced(float(second), second)
+        proof.record_store_read(float(second), second)
     return proof
 
 
@@ -93,10 +93,10 @@
     proof = silent_agent(["a", "b"])
     assert not proof.has_expired("vm", 1, 30.0)  # nothing was ever read of `b`
     # Its inventory cannot be read: it is running, and may have answered.
-    proof.observe({}, 1.0, {"b"})
+    proof.observe_inventories({}, 1.0, {"b"})
     assert not proof.has_expired("vm", 1, 30.0)
     # Its inventory has gone with its own lease, so it has stopped answering.
-    proof.observe({}, 1.0)
+    proof.observe_inventories({}, 1.0)
     assert proof.has_expired("vm", 1, 30.0)
 
 
@@ -104,9 +104,9 @@
     """Seen in the simulation: it had answered an agent from which we received nothing."""
     proof = silent_agent(["a"])
     assert proof.has_expired("vm", 1, 30.0)
-    proof.observe({"a": MachineInventory(1, 1.0, 1, {}, process=8)}, 30.0)
+    proof.observe_inventories({"a": MachineInventory(1, 1.0, 1, {}, process=8)}, 30.0)
     assert not proof.has_expired("vm", 1, 30.0)
-    proof.observe({}, 30.0, {"a"})
+    proof.observe_inventories({}, 30.0, {"a"})
     assert not proof.has_expired("vm", 1, 30.0)
-    proof.observe({"a": MachineInventory(1, 1.0, 1, {}, process=7)}, 30.0)
+    proof.observe_inventories({"a": MachineInventory(1, 1.0, 1, {}, process=7)}, 30.0)
     assert proof.has_expired("vm", 1, 30.0)
--- a/tests/test_lease_renewal_guard_model.py
+++ b/tests/test_lease_renewal_guard_model.py
@@ -12,7 +12,7 @@
 import pytest
 
 from sandladder.agents import LeaseRenewalGuard
-from sandladder.config import WorkerSettings
+from sandladder.config import AgentSettings
 from sandladder.model import ClockReading
 
 LEASE, CANCEL, LAST = 1, 2, 3
@@ -71,7 +71,7 @@
 
     def renewal_guard(self, world: World) -> LeaseRenewalGuard:
         # What `knowledge_s` leaves of `CANCEL` without drift: clocks here are exact.
-        workers = WorkerSettings(report_s=1.0, lease_s=LEASE, cancel_s=(CANCEL + 0.25) / 0.998)
+        workers = AgentSettings(report_s=1.0, lease_s=LEASE, cancel_s=(CANCEL + 0.25) / 0.998)
         guard = self.kind("a", OTHERS, 1, workers)
         guard._last_read_at = world.last_read_at
         for peer, kept in zip(guard._peers.values(), world.peers, strict=True):
@@ -101,7 +101,7 @@
                 yield world._replace(reading=(world.reading[0], True))
         else:
             guard = self.renewal_guard(world)
-            guard.read(t if self.reading_counts_from_response else world.reading[0])
+            guard.record_store_read(t if self.reading_counts_from_response else world.reading[0])
             yield self.keep(world._replace(reading=None), guard)
         for index, other in enumerate(world.others):
             if world.confirmed_at is None:
@@ -125,7 +125,9 @@
             process, echo = other.heartbeat
             guard = self.renewal_guard(world)
             acknowledged = {"a": ClockReading(1, t if self.heartbeat_counts_from_arrival else echo)}
-            guard.heard(OTHERS[index], ClockReading(process, 0.0), acknowledged, True, t)
+            guard.record_peer_heartbeat(
+                OTHERS[index], ClockReading(process, 0.0), acknowledged, True, t
+            )
             yield self.keep(self._with(world, index, heartbeat=None), guard)
 
     def broken(self) -> World | None:
@@ -176,9 +178,11 @@
     process: int, names_all: bool, known_until: float
 ) -> None:
     guard = LeaseRenewalGuard(
-        "a", ["b"], 1, WorkerSettings(report_s=1.0, lease_s=LEASE, cancel_s=CANCEL)
+        "a", ["b"], 1, AgentSettings(report_s=1.0, lease_s=LEASE, cancel_s=CANCEL)
+    )
+    guard.record_peer_heartbeat("b", ClockReading(1, 0.0), {}, True, 1.0)
+    guard.record_store_read(2.0)
+    guard.record_peer_heartbeat(
+        "b", ClockReading(1, 0.0), {"a": ClockReading(process, 5.0)}, names_all, 6.0
     )
-    guard.heard("b", ClockReading(1, 0.0), {}, True, 1.0)
-    guard.read(2.0)
-    guard.heard("b", ClockReading(1, 0.0), {"a": ClockReading(process, 5.0)}, names_all, 6.0)
     assert guard.cancellations_known_until() == known_until
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -26,18 +26,18 @@
 def test_capacity_of_a_proved_end_is_free_before_it_is_committed() -> None:
     cluster_view, _, cache, _ = scene()
     job = commit_starts(cluster_view, accept(cache, entries=2), "vm-1")
-    before = cluster_view.capacity("vm-1")
+    before = cluster_view.free_capacity("vm-1")
     ended = EndedAttempt(job.id, 0, job.live[0], "done")
-    cluster_view.note_over(ended)
-    after = cluster_view.capacity("vm-1")
+    cluster_view.note_ended(ended)
+    after = cluster_view.free_capacity("vm-1")
     assert before and after and after.cpus == before.cpus + job.spec.cpus
-    assert cluster_view.freed("vm-1")
+    assert cluster_view.is_idle("vm-1")
     transaction = Transaction(cache)
     assert end(transaction, [ended], 0.0)
     commit(cache, transaction)
-    cluster_view.touch("vm-1")
-    cluster_view.forget()
-    again = cluster_view.capacity("vm-1")
+    cluster_view.machine_changed("vm-1")
+    cluster_view.forget_missing()
+    again = cluster_view.free_capacity("vm-1")
     assert again and again.cpus == after.cpus and not cluster_view.free_capacities.ended
 
 
@@ -51,7 +51,7 @@
 
 def test_a_machine_that_refused_a_start_gets_no_work_for_a_while() -> None:
     cluster_view, planner, cache, _ = scene()
-    cluster_view.doubt("vm-2", 2.0)
+    cluster_view.avoid_machine("vm-2", 2.0)
     job = accept(cache, entries=8)
     assert machines_of(planner.plan([job], {})) == {"vm-1"}
     cluster_view.now = 2.5
@@ -64,8 +64,8 @@
     web = accept(cache, number=9, entries=3, form="service", apart=True, loaners=False, vcpus=4.0)
     commit_starts(cluster_view, web, "vm-2", "vm-2")
     # More would fit on vm-2 in the south, but two of three are there; the north has nothing free.
-    cluster_view.doubt("vm-1", 100.0)
-    requests = ScalingPolicy(cluster_view).rental_requests(0.0)
+    cluster_view.avoid_machine("vm-1", 100.0)
+    requests = ScalingPolicy(cluster_view).scale_out_requests(0.0)
     assert {request.zone for request in requests} == {"north"} and requests[0].number == 1
 
 
@@ -74,7 +74,7 @@
 ) -> None:
     """A full cluster costs nothing for each waiting task; seen with arrays of two thousand."""
     cluster_view, planner, cache, _ = scene(value_kb=16.0)
-    monkeypatch.setitem(cluster_view.limits, "red", TeamLimits("red"))
+    monkeypatch.setitem(cluster_view.team_limits, "red", TeamLimits("red"))
     big = accept(cache, entries=2000, vcpus=1.0, ram_gb=0.1)
     listed = 0
     gaps = Ranges.gaps
@@ -105,12 +105,14 @@
     monkeypatch.setattr(ClusterView, "fetch_s", counted)
     for size in (300, 1200):
         cluster_view, planner, cache, reconciler = scene(value_kb=16.0)
-        cluster_view.limits["red"] = TeamLimits("red")
+        cluster_view.team_limits["red"] = TeamLimits("red")
         for number in range(size):
             name = f"vm-{1000 + number}"
             fields: tuple[Any, ...] = (name, f"{name}:1", "large", "south", False, 1, 1, 1, None)
             heartbeat = AgentHeartbeat(*fields, ())
-            cluster_view.heard(reconciler.heard(heartbeat, 0.0, direct=False).agent)
+            cluster_view.record_heartbeat(
+                reconciler.receive_heartbeat(heartbeat, 0.0, direct=False).agent
+            )
         jobs = [accept(cache, number=n, entries=1, vcpus=1.0, parcel=f"img-{n}") for n in range(24)]
         assert len(planner.plan(jobs, {})) == 24
     assert looked[1200] < 1.1 * looked[300]
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -19,12 +19,14 @@
     service = accept(cache, entries=2, form="service", rank="prod", loaners=False)
     service = commit_starts(cluster_view, service, "vm-1", "vm-1")
     cache.instances["vm-1"] = Machine("small", "north", False, "draining", 0.0)
-    moves = PreemptionPolicy(cluster_view, planner.selector).moves([service])
+    moves = PreemptionPolicy(cluster_view, planner.selector).graceful_evictions([service])
     assert [move.machine for move in moves] == ["vm-1"]
     assert [move.reason for move in moves] == [MachineDeparture.DRAINING]
     cluster_view.now = cluster_view.late_s + 1.0
-    cluster_view.tell("node-0", "vm-2", MachineStatus("large", "south", False, 1, 0.0))
-    assert PreemptionPolicy(cluster_view, planner.selector).moves([service]) == []
+    cluster_view.record_peer_status(
+        "node-0", "vm-2", MachineStatus("large", "south", False, 1, 0.0)
+    )
+    assert PreemptionPolicy(cluster_view, planner.selector).graceful_evictions([service]) == []
 
 
 def test_a_victim_is_chosen_once_while_its_stop_waits_to_be_committed() -> None:
@@ -47,7 +49,7 @@
     assert len(victims) == len(web) and set(victims.values()) == {1}
     assert {victim.reason for victim in chosen} == {WaitingTask(job.id, 0) for job in web}
     for victim in chosen:
-        preemption.settled(victim)
+        preemption.stop_settled(victim)
     cluster_view.now += 3 * report_s
     send_heartbeats(cluster_view, 100)
     assert preemption.preempt(web, {}) != []
--- a/tests/test_premises.py
+++ b/tests/test_premises.py
@@ -13,17 +13,17 @@
     assert len(pending_starts) == 3
     gate = cluster_view.gate
     before = gate.checked
-    assert gate.changed([("machine", "vm-9"), ("team", "blue")], cluster_view) == []
+    assert gate.revalidate([("machine", "vm-9"), ("team", "blue")], cluster_view) == []
     assert gate.checked == before
-    verdicts = gate.changed([("team", "red")], cluster_view)
+    verdicts = gate.revalidate([("team", "red")], cluster_view)
     assert [verdict.outcome for verdict in verdicts] == [Outcome.KEEP] * 3
-    assert [verdict.reason for verdict in verdicts] == [None] * 3
-    assert gate.checked == before + 3 < gate.full_scan
+    assert [verdict.failed_premise for verdict in verdicts] == [None] * 3
+    assert gate.checked == before + 3 < gate.full_scan_checks
     # Somebody else started task 0, and its machine went silent: block outweighs replan.
     commit_placements(cache, job, [Placement(0, "vm-2", "south", 1)])
     cluster_view.now = 100.0
     machine = ("machine", pending_starts[0].placement.machine)
-    verdicts = gate.changed([("task", f"{job.id}/0"), machine], cluster_view)
+    verdicts = gate.revalidate([("task", f"{job.id}/0"), machine], cluster_view)
     outcomes = {verdict.pending_start.placement.task: verdict.outcome for verdict in verdicts}
     assert outcomes[0] is Outcome.BLOCK
     assert all(outcome is Outcome.REPLAN for task, outcome in outcomes.items() if task)
@@ -33,11 +33,11 @@
     cluster_view, planner, cache, _ = scene()
     pending_start = planner.plan([accept(cache, entries=1)], {})[0]
     cluster_view.now = 1000.0
-    cluster_view.forget()
-    cluster_view.touch(pending_start.placement.machine)
+    cluster_view.forget_missing()
+    cluster_view.machine_changed(pending_start.placement.machine)
     verdict = cluster_view.gate.release(pending_start, cluster_view)
     assert verdict.outcome is Outcome.BLOCK
-    assert verdict.reason is PremiseKind.MACHINE_ALLOWED
+    assert verdict.failed_premise is PremiseKind.MACHINE_ALLOWED
     assert not cluster_view.gate.pending
 
 
@@ -45,10 +45,10 @@
     cluster_view, planner, cache, _ = scene()
     pending_start = planner.plan([accept(cache, entries=1)], {})[0]
     pending_start.reporting_controller = "node-7"
-    cluster_view.touch(pending_start.placement.machine)
+    cluster_view.machine_changed(pending_start.placement.machine)
     verdict = cluster_view.gate.release(pending_start, cluster_view)
     assert verdict.outcome is Outcome.REFRESH
-    assert verdict.reason is PremiseKind.REPORTING_CONTROLLER
+    assert verdict.failed_premise is PremiseKind.REPORTING_CONTROLLER
     assert pending_start.reporting_controller == "node-0"
 
 
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -17,7 +17,6 @@
     loads,
     loads_map,
     store_messages,
-    wire,
 )
 from simulation import job
 
@@ -88,8 +87,13 @@
 def test_a_heartbeat_is_read_in_full() -> None:
     found = agent_messages.parse_heartbeat(HEARTBEAT)
     assert (found.machine, found.type, found.zone, found.spot) == ("vm-000231", "g8", "a", True)
-    assert (found.session, found.seq, found.token, found.notice_s) == (1, 88, 41, None)
-    assert [(t.job, t.task, t.attempt, t.state, t.cause) for t in found.entries] == [
+    assert (found.agent_epoch, found.sequence_number, found.fencing_token, found.notice_s) == (
+        1,
+        88,
+        41,
+        None,
+    )
+    assert [(t.job, t.task, t.attempt, t.state, t.cause) for t in found.tasks] == [
         ("job-000412", 3, 2, "running", ""),
         ("job-000398", 0, 1, "exited", "peers"),
     ]
@@ -160,6 +164,6 @@
 
 
 def test_former_names_stand_for_the_same_functions() -> None:
-    assert wire.parse_job is job_messages.parse_submission
-    assert wire.parse_report is agent_messages.parse_heartbeat
-    assert wire.MalformedMessageError is MalformedMessageError
+    assert job_messages.parse_submission is job_messages.parse_submission
+    assert agent_messages.parse_heartbeat is agent_messages.parse_heartbeat
+    assert MalformedMessageError is MalformedMessageError
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -9,7 +9,7 @@
 from helpers import commit, scene, spec
 from sandladder.config import TeamLimits
 from sandladder.jobs import rejection, start, submit
-from sandladder.model import NOTHING, Placement, TeamUsage, headroom, within_guarantee
+from sandladder.model import NO_HEADROOM, Placement, TeamUsage, headroom, within_guarantee
 from sandladder.state import PreconditionFailedError, Transaction
 from simulation import TODAY, SimulatedCluster, job
 from simulation.answer_consistency import is_over_limit
@@ -25,15 +25,15 @@
     usage = TeamUsage(12.0, 3.0)
     gpu_task = spec(vcpus=4.0, gpus=1.0)
     cpu_task = spec(vcpus=4.0)
-    assert headroom(GPUS_ALONE, usage).tasks(gpu_task, 100) == 1
-    assert headroom(GPUS_ALONE, usage).tasks(cpu_task, 100) == 100
-    assert headroom(CPUS_ALONE, usage).tasks(gpu_task, 100) == 1
-    assert headroom(NEITHER, usage).tasks(gpu_task, 100) == 100
-    assert headroom(CPUS_ALONE, TeamUsage(16.0, 0.0)).tasks(cpu_task, 1) == 0
-    assert headroom(CPUS_ALONE, TeamUsage(20.0, 0.0)).tasks(cpu_task, 1) == 0
+    assert headroom(GPUS_ALONE, usage).tasks_within(gpu_task, 100) == 1
+    assert headroom(GPUS_ALONE, usage).tasks_within(cpu_task, 100) == 100
+    assert headroom(CPUS_ALONE, usage).tasks_within(gpu_task, 100) == 1
+    assert headroom(NEITHER, usage).tasks_within(gpu_task, 100) == 100
+    assert headroom(CPUS_ALONE, TeamUsage(16.0, 0.0)).tasks_within(cpu_task, 1) == 0
+    assert headroom(CPUS_ALONE, TeamUsage(20.0, 0.0)).tasks_within(cpu_task, 1) == 0
     # A team that the settings do not name may start nothing: unknown is not unlimited.
-    assert headroom(None, TeamUsage()) == NOTHING
-    assert not NOTHING.covers(cpu_task)
+    assert headroom(None, TeamUsage()) == NO_HEADROOM
+    assert not NO_HEADROOM.covers(cpu_task)
 
 
 def test_headroom_agrees_with_the_simulated_platforms_rule() -> None:
@@ -70,8 +70,8 @@
     _, _, cache, _ = scene()
     known = {"red": limits}
     small = spec(1, entries=2, vcpus=2.0)
-    assert rejection(small, cache.types, known) is None
-    assert rejection(spec(2, bureau="green"), cache.types, known) == "unknown team"
+    assert rejection(small, cache.machine_types, known) is None
+    assert rejection(spec(2, bureau="green"), cache.machine_types, known) == "unknown team"
     transaction = Transaction(cache)
     submit(transaction, small, 0.0)
     commit(cache, transaction)
--- a/tests/test_reconciliation.py
+++ b/tests/test_reconciliation.py
@@ -3,15 +3,15 @@
 from helpers import LIMITS, accept, commit
 from sandladder.agents import LeaseRenewalGuard, Reconciler
 from sandladder.jobs import start
-from sandladder.model import AgentHeartbeat, Attempt, Command, EndedAttempt, Placement, ReportedTask
+from sandladder.model import AgentHeartbeat, Attempt, Command, EndedAttempt, Placement, TaskStatus
 from sandladder.state import StateCache, Transaction
 from simulation import settings
 
-RUNNING = ReportedTask("job-000001", 0, 1, "running", "", False)
-EXITED = ReportedTask("job-000001", 0, 1, "exited", "full", False)
+RUNNING = TaskStatus("job-000001", 0, 1, "running", "", False)
+EXITED = TaskStatus("job-000001", 0, 1, "exited", "full", False)
 
 
-def heartbeat(seq: int, token: int, *tasks: ReportedTask, session: int = 1) -> AgentHeartbeat:
+def heartbeat(seq: int, token: int, *tasks: TaskStatus, session: int = 1) -> AgentHeartbeat:
     """A heartbeat of the agent on vm-1."""
     return AgentHeartbeat(
         "vm-1", "vm-1:1", "small", "north", False, session, seq, token, None, tasks
@@ -31,33 +31,33 @@
 
 def test_no_start_is_commanded_before_the_agent_accepts_the_token_and_the_cache_is_newer() -> None:
     reconciler, cache = Reconciler(), cache_with_starts(1)
-    reconciler.new_term(5)
-    agent = reconciler.heard(heartbeat(1, 0), 0.0, direct=False).agent
+    reconciler.adopt_fencing_token(5)
+    agent = reconciler.receive_heartbeat(heartbeat(1, 0), 0.0, direct=False).agent
     assert reconciler.commands(agent, cache) == []
-    reconciler.heard(heartbeat(2, 5), 0.0, direct=False)
+    reconciler.receive_heartbeat(heartbeat(2, 5), 0.0, direct=False)
     assert reconciler.commands(agent, cache) == []
     agent.synced = True
-    assert [c.op for c in reconciler.commands(agent, cache)] == ["start"]
+    assert [c.operation for c in reconciler.commands(agent, cache)] == ["start"]
     # Once it was seen there it is not started again, whatever later heartbeats lack.
-    reconciler.heard(heartbeat(3, 5, RUNNING), 0.0, direct=False)
-    reconciler.heard(heartbeat(4, 5), 0.0, direct=False)
+    reconciler.receive_heartbeat(heartbeat(3, 5, RUNNING), 0.0, direct=False)
+    reconciler.receive_heartbeat(heartbeat(4, 5), 0.0, direct=False)
     assert reconciler.commands(agent, cache) == []
     # An older heartbeat changes nothing; another controller's token ends our command of it.
-    assert not reconciler.heard(heartbeat(3, 5, RUNNING), 0.0, direct=False).is_new
-    reconciler.heard(heartbeat(5, 6), 0.0, direct=False)
+    assert not reconciler.receive_heartbeat(heartbeat(3, 5, RUNNING), 0.0, direct=False).is_new
+    reconciler.receive_heartbeat(heartbeat(5, 6), 0.0, direct=False)
     assert not agent.accepts_token
 
 
 def test_an_exited_task_is_not_forgotten_while_a_start_may_still_arrive() -> None:
     reconciler, cache = Reconciler(), StateCache()
-    reconciler.new_term(5)
-    agent = reconciler.heard(heartbeat(1, 5, EXITED), 0.0, direct=False).agent
+    reconciler.adopt_fencing_token(5)
+    agent = reconciler.receive_heartbeat(heartbeat(1, 5, EXITED), 0.0, direct=False).agent
     agent.synced = True
     agent.stale_start_token = 5
     assert reconciler.commands(agent, cache) == []
-    reconciler.new_term(6)
-    reconciler.heard(heartbeat(2, 6, EXITED), 0.0, direct=False)
-    assert [c.op for c in reconciler.commands(agent, cache)] == ["forget"]
+    reconciler.adopt_fencing_token(6)
+    reconciler.receive_heartbeat(heartbeat(2, 6, EXITED), 0.0, direct=False)
+    assert [c.operation for c in reconciler.commands(agent, cache)] == ["forget"]
     agent.start_in_response = True
     assert reconciler.commands(agent, cache) == []
 
@@ -65,59 +65,61 @@
 def test_a_response_to_a_heartbeat_only_stops_while_a_direct_command_is_in_flight() -> None:
     """The command may carry the same starts, and one of what has exited may still arrive."""
     reconciler, cache = Reconciler(), cache_with_starts(1)
-    reconciler.new_term(5)
+    reconciler.adopt_fencing_token(5)
     uncommitted = RUNNING._replace(job="job-000002")
     exited = EXITED._replace(job="job-000003")
-    agent = reconciler.heard(heartbeat(1, 5, uncommitted, exited), 0.0, direct=False).agent
+    agent = reconciler.receive_heartbeat(
+        heartbeat(1, 5, uncommitted, exited), 0.0, direct=False
+    ).agent
     agent.synced = True
-    operations = [c.op for c in reconciler.answer(agent, cache)]
+    operations = [c.operation for c in reconciler.response_commands(agent, cache)]
     assert operations == ["forget", "stop", "start"]
     agent.command_in_flight = True
-    assert [c.op for c in reconciler.answer(agent, cache)] == ["stop"]
+    assert [c.operation for c in reconciler.response_commands(agent, cache)] == ["stop"]
 
 
 def test_a_heartbeat_of_a_later_session_proves_the_attempts_of_earlier_ones_lost() -> None:
     cache, reconciler = cache_with_starts(1), Reconciler()
-    reconciler.new_term(1)
-    agent = reconciler.heard(heartbeat(9, 1, session=2), 0.0, direct=False).agent
+    reconciler.adopt_fencing_token(1)
+    agent = reconciler.receive_heartbeat(heartbeat(9, 1, session=2), 0.0, direct=False).agent
     attempt = Attempt("vm-1", "north", 1, 1)
-    assert reconciler.ends(agent, cache) == [EndedAttempt("job-000001", 0, attempt, "lost")]
+    assert reconciler.proved_ends(agent, cache) == [EndedAttempt("job-000001", 0, attempt, "lost")]
 
 
 def test_cancelled_tasks_are_stopped_with_any_response_and_when_a_peer_announces_it() -> None:
     cache, reconciler = cache_with_starts(2), Reconciler()
-    reconciler.new_term(5)
-    agent = reconciler.heard(heartbeat(1, 5, RUNNING), 0.0, direct=False).agent
+    reconciler.adopt_fencing_token(5)
+    agent = reconciler.receive_heartbeat(heartbeat(1, 5, RUNNING), 0.0, direct=False).agent
     agent.synced = True
-    assert [c.op for c in reconciler.answer(agent, cache)] == ["start"]
-    assert cache.tell(["job-000001"], 7.0) == ["job-000001"]
+    assert [c.operation for c in reconciler.response_commands(agent, cache)] == ["start"]
+    assert cache.add_peer_cancellations(["job-000001"], 7.0) == ["job-000001"]
     stops = [Command("stop", "job-000001", task, 1) for task in range(2)]
-    assert reconciler.answer(agent, cache) == stops
+    assert reconciler.response_commands(agent, cache) == stops
     # An agent that we may not command otherwise is sent at least what surely stops.
     agent.synced = False
     assert reconciler.commands(agent, cache) == []
-    assert reconciler.answer(agent, cache) == stops[:1]
+    assert reconciler.response_commands(agent, cache) == stops[:1]
     # A later reading contains what was announced before it was sent; an earlier one may not.
-    cache.synced(7.0)
-    assert cache.cancels("job-000001")
-    cache.synced(7.1)
-    assert not cache.cancels("job-000001")
+    cache.expire_peer_cancellations(7.0)
+    assert cache.is_cancelled("job-000001")
+    cache.expire_peer_cancellations(7.1)
+    assert not cache.is_cancelled("job-000001")
 
 
 def test_an_unanswered_start_bounds_until_when_its_agents_lease_may_be_renewed() -> None:
     """Held up in the network, it may bring a cancelled task back while the lease is renewed."""
     reconciler = Reconciler()
-    reconciler.new_term(5)
-    agent = reconciler.heard(heartbeat(1, 5), 0.0, direct=False).agent
+    reconciler.adopt_fencing_token(5)
+    agent = reconciler.receive_heartbeat(heartbeat(1, 5), 0.0, direct=False).agent
     workers = settings().platform.deployment.workers
     guard = LeaseRenewalGuard("node-0", ["node-1"], 1, workers)
-    guard.read(100.0)
+    guard.record_store_read(100.0)
     agent.stale_start_token = 5
     agent.late_start_known_until = guard.cancellations_known_until()
-    guard.read(100.0 + workers.knowledge_s)
-    later = 101.0 + workers.knowledge_s
+    guard.record_store_read(100.0 + workers.cancellation_knowledge_age_s)
+    later = 101.0 + workers.cancellation_knowledge_age_s
     assert guard.permits_renewal(later)
     assert not guard.permits_renewal(later, agent.late_start_known_until)
-    reconciler.new_term(6)
-    reconciler.heard(heartbeat(2, 6), later, direct=False)
+    reconciler.adopt_fencing_token(6)
+    reconciler.receive_heartbeat(heartbeat(2, 6), later, direct=False)
     assert guard.permits_renewal(later, agent.late_start_known_until)
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -19,17 +19,17 @@
     Ranges,
 )
 from sandladder.state import (
-    JOB,
-    NODE,
-    TEAM,
+    INVENTORY_PREFIX,
+    JOB_PREFIX,
+    TEAM_PREFIX,
     PreconditionFailedError,
     StateCache,
     Transaction,
     change_instances,
-    fold_inventory,
+    inventory_values_v1,
+    inventory_values_v2,
     job_value,
-    load_job,
-    pack_inventory,
+    read_job,
     split_value,
     stamp_parts,
 )
@@ -78,7 +78,7 @@
                 continue
         commit(cache, transaction)
         for kept in cache.jobs.values():
-            again = load_job(cbor2.loads(cbor2.dumps(job_value(kept))))
+            again = read_job(cbor2.loads(cbor2.dumps(job_value(kept))))
             assert again.live == kept.live and again.done.flat() == kept.done.flat()
         held = sum(len(j.live) * j.spec.cpus for j in cache.jobs.values())
         assert cache.teams.get("red", (0.0, 0.0))[0] == pytest.approx(held)
@@ -89,11 +89,13 @@
 def test_older_changes_never_undo_an_own_commit() -> None:
     cache = StateCache()
     value = job_value(Job(spec(), 0.0))
-    cache.wrote(7, [(JOB + "job-000001", None), (TEAM + "red", [4.0, 0.0])])
-    cache.apply(6, [(JOB + "job-000001", value, 5), (TEAM + "red", [2.0, 0.0], 6)])
+    cache.apply_own_commit(
+        7, [(JOB_PREFIX + "job-000001", None), (TEAM_PREFIX + "red", [4.0, 0.0])]
+    )
+    cache.apply(6, [(JOB_PREFIX + "job-000001", value, 5), (TEAM_PREFIX + "red", [2.0, 0.0], 6)])
     assert not cache.jobs and cache.teams["red"].cpus == 4.0
-    cache.apply(9, [(TEAM + "red", [6.0, 0.0], 8)])
-    assert cache.teams["red"].cpus == 6.0 and cache.version(TEAM + "red") == 8
+    cache.apply(9, [(TEAM_PREFIX + "red", [6.0, 0.0], 8)])
+    assert cache.teams["red"].cpus == 6.0 and cache.version(TEAM_PREFIX + "red") == 8
 
 
 @pytest.mark.parametrize("machines", [0, 1, 160, 500, 2000])
@@ -102,13 +104,13 @@
     """Seen: past the limit on values it was rejected, and others scheduled by an old one."""
     limit = 8 * 1024
     before = inventory(machines, part=part)
-    values = cbor2.loads(cbor2.dumps(pack_inventory(before, limit)))
+    values = cbor2.loads(cbor2.dumps(inventory_values_v1(before, limit)))
     assert all(len(msgspec.json.encode(value)) <= limit for value in values)
     assert (len(values) == 1) == (machines <= 500 and (part == "vm-" or machines <= 160))
     cache = StateCache()
-    items = [(f"{NODE}a" + (f"/{i}" if i else ""), v, 5) for i, v in enumerate(values)]
+    items = [(f"{INVENTORY_PREFIX}a" + (f"/{i}" if i else ""), v, 5) for i, v in enumerate(values)]
     cache.apply(5, items[::-1])
-    after = cache.nodes["a"]
+    after = cache.inventories["a"]
     assert after[:3] == before[:3] and after.machines.keys() == before.machines.keys()
     for name, seen in after.machines.items():
         known = before.machines[name]
@@ -119,14 +121,16 @@
 
 def test_an_inventory_with_a_missing_part_changes_nothing() -> None:
     cache = StateCache()
-    old = pack_inventory(inventory(1500), 8192)
-    cache.apply(5, [(f"{NODE}a" + (f"/{i}" if i else ""), v, 5) for i, v in enumerate(old)])
-    known = cache.nodes["a"]
-    new = pack_inventory(inventory(1600)._replace(revision=2000000), 8192)
-    cache.apply(6, [(f"{NODE}a", new[0], 6)])
-    assert cache.nodes["a"] is known
-    cache.apply(7, [(f"{NODE}a/{i}", v, 7) for i, v in enumerate(new) if i])
-    assert len(cache.nodes["a"].machines) == 1600
+    old = inventory_values_v1(inventory(1500), 8192)
+    cache.apply(
+        5, [(f"{INVENTORY_PREFIX}a" + (f"/{i}" if i else ""), v, 5) for i, v in enumerate(old)]
+    )
+    known = cache.inventories["a"]
+    new = inventory_values_v1(inventory(1600)._replace(revision=2000000), 8192)
+    cache.apply(6, [(f"{INVENTORY_PREFIX}a", new[0], 6)])
+    assert cache.inventories["a"] is known
+    cache.apply(7, [(f"{INVENTORY_PREFIX}a/{i}", v, 7) for i, v in enumerate(new) if i])
+    assert len(cache.inventories["a"].machines) == 1600
 
 
 @pytest.mark.parametrize("value_kb", [2.0, 8.0, 16.0])
@@ -137,7 +141,7 @@
     """Each task alone on some machine, on none twice, and every other one done."""
     cluster_view, planner, cache, _ = scene(value_kb)
     cache.schema_version = schema_version
-    limits = planner.limits
+    limits = planner.store_limits
     found = Job(spec(entries=100_000), 1e9)
     most = planner.most_live(found.spec)
     # As many as before on the smallest store, and more than before on larger ones.
@@ -154,7 +158,7 @@
         if schema_version == SCHEMA_V2
         else [job_value(found)]
     )
-    assert len(values) <= limits.parts
+    assert len(values) <= limits.most_parts
     assert all(len(msgspec.json.encode(value)) <= value_kb * 1024 for value in values)
 
 
@@ -196,16 +200,16 @@
     for task in range(0, 2000, 2):
         found.done.add(task)
     head, *others = split_value(job_value(found), 600)
-    key = JOB + found.id
+    key = JOB_PREFIX + found.id
     continuations = [f"s/x/j/{found.id}/{index}" for index in range(1, len(others) + 1)]
     assert len(others) > 1
-    cache.wrote(4, [(key, head), *zip(continuations[:-1], others[:-1], strict=True)])
+    cache.apply_own_commit(4, [(key, head), *zip(continuations[:-1], others[:-1], strict=True)])
     assert not cache.jobs and cache.version(key) == 4
-    cache.wrote(5, [(continuations[-1], others[-1])])
+    cache.apply_own_commit(5, [(continuations[-1], others[-1])])
     assert not cache.jobs
     cache.apply(5, [])
     assert cache.unreadable == {key}
-    cache.wrote(6, [(key, head), *zip(continuations, others, strict=True)])
+    cache.apply_own_commit(6, [(key, head), *zip(continuations, others, strict=True)])
     assert cache.jobs[found.id].done.flat() == found.done.flat()
     assert not cache.unreadable and cache.continuation_keys(key) == continuations
 
@@ -213,14 +217,14 @@
 def test_parts_with_one_stamp_make_a_record_whichever_transactions_wrote_them() -> None:
     cache = StateCache()
     before = inventory(900)
-    parts = split_value(fold_inventory(before, 1e9)[0], 2048)
-    *ahead, head = stamp_parts(f"{NODE}a", parts, 7)
+    parts = split_value(inventory_values_v2(before, 1e9)[0], 2048)
+    *ahead, head = stamp_parts(f"{INVENTORY_PREFIX}a", parts, 7)
     for revision, part in enumerate(ahead, start=1):
-        cache.wrote(revision, [part])
-    assert not cache.nodes
-    cache.wrote(len(ahead) + 1, [head])
-    assert cache.nodes["a"].machines.keys() == before.machines.keys()
-    *half, _ = stamp_parts(f"{NODE}a", parts, 8)
-    cache.wrote(len(ahead) + 2, half)
-    assert cache.nodes["a"].machines.keys() == before.machines.keys()
+        cache.apply_own_commit(revision, [part])
+    assert not cache.inventories
+    cache.apply_own_commit(len(ahead) + 1, [head])
+    assert cache.inventories["a"].machines.keys() == before.machines.keys()
+    *half, _ = stamp_parts(f"{INVENTORY_PREFIX}a", parts, 8)
+    cache.apply_own_commit(len(ahead) + 2, half)
+    assert cache.inventories["a"].machines.keys() == before.machines.keys()
     assert not cache.unreadable
--- a/tests/test_reservation.py
+++ b/tests/test_reservation.py
@@ -49,7 +49,7 @@
     assert [pending_start.spec.id for pending_start in placed] == [gang.id] * 7
     commit_placements(cache, gang, [pending_start.placement for pending_start in placed])
     withdraw_all(cluster_view.gate)
-    cluster_view.touch("vm-2")
+    cluster_view.machine_changed("vm-2")
     planner.plan([cache.jobs[small.id]], {})
     assert planner.reservation.reserved == {}
 
@@ -63,7 +63,7 @@
     fields: dict[str, Any],
 ) -> None:
     cluster_view, planner, cache, _ = scene()
-    cluster_view.limits["blue"] = TeamLimits("blue", 4.0, 8.0, 0.0, 0.0)
+    cluster_view.team_limits["blue"] = TeamLimits("blue", 4.0, 8.0, 0.0, 0.0)
     gang = accept(cache, number=2, form="group", ram_gb=1.0, **fields)
     cluster_view.now = 1000.0
     send_heartbeats(cluster_view, 2)
--- a/tests/test_samples.py
+++ b/tests/test_samples.py
@@ -26,18 +26,18 @@
     TeamUsage,
 )
 from sandladder.state import (
-    JOB,
+    JOB_PREFIX,
     StateCache,
     Transaction,
     finished_job_value,
     instances_value,
+    inventory_values_v1,
     job_value,
-    load_job,
-    pack_inventory,
     read_finished_job,
     read_instances,
+    read_inventory,
+    read_job,
     read_team,
-    unpack_inventory,
 )
 from sandladder.transport import peer_messages
 
@@ -59,7 +59,7 @@
 
 @pytest.mark.parametrize("name", [name for name in RECORDS if name.startswith("job")])
 def test_a_job_is_read_and_written_again_as_production_wrote_it(name: str) -> None:
-    found = load_job(RECORDS[name])
+    found = read_job(RECORDS[name])
     assert as_json(job_value(found)) == RECORDS[name]
     assert found.dependencies == () and found.ready is None
 
@@ -78,23 +78,25 @@
 
 @pytest.mark.parametrize("name", ["summary", "summary in parts"])
 def test_an_inventory_has_two_fields_more_that_production_ignores(name: str) -> None:
-    found = unpack_inventory(RECORDS[name])
+    found = read_inventory(RECORDS[name])
     assert (
         found is not None
         and found.schema_version == SCHEMA_V1
-        and found.machines["vm-000003"].session == 2
+        and found.machines["vm-000003"].agent_epoch == 2
     )
-    values = pack_inventory(
+    values = inventory_values_v1(
         found._replace(schema_version=SCHEMA_V2, process=77), 8192 if name == "summary" else 400
     )
     if name == "summary":
         assert as_json(values[0]) == RECORDS[name][0] | {"w": SCHEMA_V2, "o": 77}
-    assert unpack_inventory(values) == found._replace(schema_version=SCHEMA_V2, process=77)
+    assert read_inventory(values) == found._replace(schema_version=SCHEMA_V2, process=77)
 
 
 def test_schema_v1_records_have_no_key_that_production_would_lose() -> None:
     cache = StateCache()
-    cache.apply(3, [(JOB + "job-000001", RECORDS["job, fresh"], 2), ("s/t/red", [0.0, 0.0], 3)])
+    cache.apply(
+        3, [(JOB_PREFIX + "job-000001", RECORDS["job, fresh"], 2), ("s/t/red", [0.0, 0.0], 3)]
+    )
     known = set().union(*(RECORDS[name] for name in RECORDS if name.startswith("job")))
     transaction = Transaction(cache, 200.0)
     places = [Placement(t, f"vm-{t:06d}", "north", 1) for t in range(20)]
@@ -108,7 +110,7 @@
     assert end(
         transaction, [EndedAttempt(live.id, t, a, "done") for t, a in live.live.items()], 9.0
     )
-    assert {key for key, _, _ in transaction.changes()} == {JOB + live.id, "s/t/red"}
+    assert {key for key, _, _ in transaction.changes()} == {JOB_PREFIX + live.id, "s/t/red"}
 
 
 def test_messages_are_decoded_and_encoded_again_as_production_sent_them() -> None:
@@ -127,7 +129,7 @@
         else:
             assert again == text
     seen = peer_messages._decoder.decode(bytes.fromhex(MESSAGES["sighting"]))
-    assert isinstance(seen, peer_messages.MachineUpdate) and len(seen.seen) == len(
+    assert isinstance(seen, peer_messages.MachineUpdate) and len(seen.status) == len(
         MachineStatus._fields
     )
-    assert MachineInventory._fields[:4] == ("term", "up_s", "revision", "machines")
+    assert MachineInventory._fields[:4] == ("fencing_token", "up_s", "revision", "machines")
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -6,7 +6,7 @@
 import pytest
 
 from sandladder.cli import main
-from sandladder.config import Objective, Settings, SettingsError, parse_operator, split_addr
+from sandladder.config import Objective, Settings, SettingsError, parse_address, parse_operator
 from simulation import settings
 
 GOOD = (
@@ -104,8 +104,8 @@
 @pytest.mark.parametrize("addr", ["", "host", ":80", "host:", "host:x", "host:0", "host:65536"])
 def test_an_address_needs_a_host_and_a_port(addr: str) -> None:
     with pytest.raises(ValueError, match="not host:port"):
-        split_addr(addr)
-    assert split_addr("host:65535") == ("host", 65535)
+        parse_address(addr)
+    assert parse_address("host:65535") == ("host", 65535)
 
 
 def test_the_shortest_wait_of_a_class_counts() -> None:
@@ -118,5 +118,5 @@
     ]
     deployment = msgspec.structs.replace(known.platform.deployment, objectives=objectives)
     platform = msgspec.structs.replace(known.platform, deployment=deployment)
-    assert Settings(platform).waits == {"web": 2.0}
-    assert Settings(platform).unknown_aims == ["not known"]
+    assert Settings(platform).start_objectives_s == {"web": 2.0}
+    assert Settings(platform).unknown_objectives == ["not known"]
--- a/tests/test_single_faults.py
+++ b/tests/test_single_faults.py
@@ -5,7 +5,7 @@
 import anyio
 import pytest
 
-from sandladder.scheduling import SICK_ERRORS
+from sandladder.scheduling import UNHEALTHY_FAILURES
 from simulation import SimulatedCluster, job, now, run
 from simulation.faults import running_machines
 from simulation.workloads import wait_until_healthy
@@ -53,7 +53,9 @@
             await anyio.sleep(8.0)
         assert not await cluster.until_done([s["id"] for s in good], 60.0)
         for node in cluster.nodes.values():
-            assert all(len(d.failed) < SICK_ERRORS for d in node.reconciler.machines.values())
+            assert all(
+                len(d.failed_jobs) < UNHEALTHY_FAILURES for d in node.reconciler.agents.values()
+            )
         assert await cluster.cancel("job-000001") == "cancelled"
 
     run(cluster, main)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -7,12 +7,11 @@
 import anyio
 
 from sandladder.errors import SandladderError
-from sandladder.protocol import dumps
-from sandladder.protocol.wire import loads
+from sandladder.protocol import dumps, loads
 from sandladder.state import (
-    P_IDLE,
-    P_USER,
-    P_WORK,
+    PRIORITY_BACKGROUND,
+    PRIORITY_JOB,
+    PRIORITY_REQUEST,
     AdaptiveTokenBucket,
     ConflictError,
     GroupCommitter,
@@ -38,7 +37,7 @@
         bucket = AdaptiveTokenBucket(15.0)
         for _ in range(50):
             bucket.spend(6)
-            bucket.refused(6)
+            bucket.on_rejected(6)
         assert bucket.rate >= 0.6 * 15.0
         bucket.share = 0.1
         assert bucket.rate <= 1.5
@@ -143,8 +142,8 @@
             Response(409, dumps({"failed": ["s/f/x"]})), Response(200, dumps({"ledger": 7}))
         )
         committer = committer_on(store)
-        known = PendingChange("known", P_USER, 1, put("s/j/x"), final="s/f/x")
-        other = PendingChange("other", P_USER, 1, put("s/p/y"))
+        known = PendingChange("known", PRIORITY_REQUEST, 1, put("s/j/x"), settled_by_key="s/f/x")
+        other = PendingChange("other", PRIORITY_REQUEST, 1, put("s/p/y"))
         await run_until_resolved(committer, [known, other])
         return known, other, store, committer
 
@@ -152,7 +151,7 @@
     assert isinstance(known.error, PreconditionFailedError) and other.error is None
     assert [len(body["apply"]) for body in store.bodies] == [2, 1]
     assert (committer.committed, committer.rejected) == (1, 1)
-    assert committer.refused_over == {"s/f": 1} and committer.wrote == {"s/p": 1}
+    assert committer.conflicting_keys == {"s/f": 1} and committer.committed_keys == {"s/p": 1}
 
 
 def test_an_expired_lease_fails_only_the_changes_that_are_attached_to_one() -> None:
@@ -160,8 +159,8 @@
         store = ScriptedStore(
             Response(400, dumps({"error": "no such lease"})), Response(200, dumps({"ledger": 7}))
         )
-        leased = PendingChange("leased", P_USER, 1, put("s/p/x", 5), leased=True)
-        other = PendingChange("other", P_USER, 1, put("s/p/y"))
+        leased = PendingChange("leased", PRIORITY_REQUEST, 1, put("s/p/x", 5), leased=True)
+        other = PendingChange("other", PRIORITY_REQUEST, 1, put("s/p/y"))
         await run_until_resolved(committer_on(store), [leased, other])
         return leased, other, store
 
@@ -172,14 +171,18 @@
 
 def test_what_has_waited_long_gets_a_part_of_each_transaction() -> None:
     async def main() -> tuple[list[str], list[str]]:
-        queue = [PendingChange(f"urgent {n}", P_USER, 1, put("s/p/x")) for n in range(8)]
-        queue += [PendingChange(f"work {n}", P_WORK, 1, put("s/p/x")) for n in range(2)]
-        queue += [PendingChange("idle", P_IDLE, 1, put("s/p/x"))]
+        queue = [PendingChange(f"urgent {n}", PRIORITY_REQUEST, 1, put("s/p/x")) for n in range(8)]
+        queue += [PendingChange(f"work {n}", PRIORITY_JOB, 1, put("s/p/x")) for n in range(2)]
+        queue += [PendingChange("idle", PRIORITY_BACKGROUND, 1, put("s/p/x"))]
         for change in queue:
             change.since = 10.0
-        aged = [change.name for change in fair_order(queue, P_IDLE, 4, waited_since=5.0)]
+        aged = [
+            change.name for change in fair_order(queue, PRIORITY_BACKGROUND, 4, waited_since=5.0)
+        ]
         queue[9].since = 1.0
-        return aged, [change.name for change in fair_order(queue, P_IDLE, 4, waited_since=5.0)]
+        return aged, [
+            change.name for change in fair_order(queue, PRIORITY_BACKGROUND, 4, waited_since=5.0)
+        ]
 
     by_priority, fair = anyio.run(main)
     assert by_priority == [*(f"urgent {n}" for n in range(8)), "work 0", "work 1", "idle"]
--- a/tests/test_transitions.py
+++ b/tests/test_transitions.py
@@ -111,8 +111,8 @@
             truth: dict[str, Counter[int]] = {}
             live = cache.jobs[found.id].live if found.id in cache.jobs else {}
             for attempt in live.values():
-                truth.setdefault(attempt.machine, Counter())[attempt.session] += 1
-            assert cache.sessions == truth
+                truth.setdefault(attempt.machine, Counter())[attempt.agent_epoch] += 1
+            assert cache.agent_epochs == truth
 
 
 def test_failures_are_counted_until_a_task_of_the_job_is_done() -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -9,14 +9,14 @@
 import production
 from sandladder.model import SCHEMA_V1, SCHEMA_V2, MachineInventory
 from sandladder.state import (
-    NODE,
+    INVENTORY_PREFIX,
     PreconditionFailedError,
     StateCache,
     Transaction,
+    inventory_values_v1,
     mark_schema_version,
-    pack_inventory,
     raise_schema_version,
-    retire,
+    retire_controller,
 )
 from simulation import NEXT, TODAY, SimulatedCluster, job, now, run
 from simulation.faults import (
@@ -184,10 +184,10 @@
         await anyio.sleep(60.0)
         assert all(node.cache.schema_version == 1 for node in cluster.nodes.values())
         node = cluster.nodes["node-0"]
-        assert await retire(node.store, "node-2") is None
+        assert await retire_controller(node.store, "node-2") is None
         await anyio.sleep(5.0)
         assert all(node.cache.schema_version == 2 for node in cluster.nodes.values())
-        assert "lives" in str(await retire(node.store, "node-1"))
+        assert "lives" in str(await retire_controller(node.store, "node-1"))
 
     run(cluster, main)
     assert cluster.violations == []
@@ -202,10 +202,10 @@
             cache.revision + 1, [(k, v, cache.revision + 1) for k, v, _ in transaction.changes()]
         )
     for schema_version in (SCHEMA_V1, SCHEMA_V2):
-        value = pack_inventory(MachineInventory(3, 5.0, 1, {}, schema_version), 8192)[0]
+        value = inventory_values_v1(MachineInventory(3, 5.0, 1, {}, schema_version), 8192)[0]
         if schema_version == SCHEMA_V1:
             value.pop("w")  # the version before says nothing of it
-        cache.apply(cache.revision + 1, [(NODE + "b", value, cache.revision + 1)])
+        cache.apply(cache.revision + 1, [(INVENTORY_PREFIX + "b", value, cache.revision + 1)])
         transaction = Transaction(cache)
         if schema_version == SCHEMA_V1:
             with pytest.raises(PreconditionFailedError):
@@ -214,8 +214,8 @@
             assert raise_schema_version(transaction, ["a", "b"])
             # It relies on what each controller wrote, and on there being no other inventory.
             assert (
-                transaction.expected_versions[NODE + "a"] == 0
-                and transaction.expected_versions[NODE + "b"] > 0
+                transaction.expected_versions[INVENTORY_PREFIX + "a"] == 0
+                and transaction.expected_versions[INVENTORY_PREFIX + "b"] > 0
             )
             assert {"s/term", "s/j/form", "s/n/forms"} <= transaction.expected_versions.keys()
             with pytest.raises(PreconditionFailedError):
--- a/tests/test_vocabulary.py
+++ b/tests/test_vocabulary.py
@@ -69,27 +69,19 @@
 PARAMETERS = re.compile(r"\b(?:after|block_ms|most|prefix)=")
 # Where one of these names means something else.
 ANOTHER_SENSE = {
-    ("autoscaling/scaling_policy.py", "due_s"): "the time left until a job is due",
+    ("autoscaling/waiting_work.py", "due_s"): "the time left until a job is due",
     ("membership/policy.py", "rank"): "the place of a controller among those that may act",
-    ("scheduling/planner.py", "rank"): "the place of a job in the order of planning",
-    ("state/records.py", "form"): "a key and a field of stored records",
+    **{
+        (f"state/{module}.py", name): "a key of the store with its value and version"
+        for module in ("__init__", "entries", "store_client", "watch")
+        for name in ("entry", "entries")
+    },
+    ("state/codecs/schema.py", "form"): "a field of stored records",
+    ("state/keys.py", "form"): "a key of stored records",
 }
 # Where it does not yet: the name is to be replaced by its term.
 NOT_RENAMED = {
-    ("agents/agent_service.py", "orders"): "a method of Reconciler",
-    ("agents/agent_service.py", "shift"): "the body of direct commands is not made by protocol yet",
-    ("agents/reconciler.py", "entries"): "a field of AgentHeartbeat",
-    ("agents/reconciler.py", "entry"): "a field of AgentHeartbeat",
-    ("agents/reconciler.py", "flushing"): "a task's state is not translated by protocol yet",
-    ("agents/reconciler.py", "orders"): "a method of Reconciler",
-    ("autoscaling/autoscaler.py", "hire"): "a private method",
-    ("autoscaling/cloud_client.py", "after="): "the target is not made by protocol yet",
-    ("autoscaling/cloud_client.py", "hire"): "a former name of wire",
-    ("autoscaling/cloud_client.py", "most="): "the target is not made by protocol yet",
-    ("membership/controller_lease.py", "standing"): "a local name",
-    ("model/agents.py", "entries"): "a field of AgentHeartbeat",
-    ("scheduling/premises.py", "clerk"): "the name of a premise",
-    ("state/schema_migration.py", "form"): "the name of a change",
+    ("agents/constants.py", "flushing"): "a task's state is not translated by protocol yet",
 }
 ALLOWED = ANOTHER_SENSE | NOT_RENAMED
 
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -19,7 +19,9 @@
 
 
 def hear(cluster_view: ClusterView, found: AgentHeartbeat) -> None:
-    cluster_view.heard(cluster_view.reconciler.heard(found, cluster_view.now, direct=False).agent)
+    cluster_view.record_heartbeat(
+        cluster_view.reconciler.receive_heartbeat(found, cluster_view.now, direct=False).agent
+    )
 
 
 def test_one_report_has_one_room_worked_out_however_many_machines_there_are() -> None:
@@ -27,13 +29,13 @@
         cluster_view, _, _, _ = scene()
         for number in range(machines):
             hear(cluster_view, report(number, 1))
-        before = cluster_view.usable_capacities()
+        before = cluster_view.usable_free_capacities()
         assert len(before) == machines + 2
         hear(cluster_view, report(7, 2))
-        after = cluster_view.usable_capacities()
+        after = cluster_view.usable_free_capacities()
         assert [m for m in after if after[m] is not before[m]] == ["vm-000007"]
         cluster_view.now += cluster_view.fresh_s / 2
-        again = cluster_view.usable_capacities()
+        again = cluster_view.usable_free_capacities()
         assert all(again[m] is after[m] for m in after)
 
 
@@ -52,25 +54,25 @@
                 notice = rng.choice([None, None, None, 5.0])
                 hear(cluster_view, report(number, step + 1, 1 + step // 50, notice))
             elif what == 2:
-                cluster_view.doubt(name, rng.uniform(0.5, 3.0))
+                cluster_view.avoid_machine(name, rng.uniform(0.5, 3.0))
             elif what == 3:
                 state = rng.choice(["rented", "draining", "gone"])
                 cache.instances[name] = Machine("small", "north", False, state, 0.0)
-                cluster_view.relist()
+                cluster_view.instances_changed()
             elif what == 4 and job.waiting:
                 transaction = Transaction(cache)
                 task = next(iter(job.pending()))
                 start(transaction, job.id, [Placement(task, name, "north", 1)], LIMITS)
                 commit(cache, transaction)
                 job = cache.jobs[job.id]
-                cluster_view.touch(name)
+                cluster_view.machine_changed(name)
             elif job.live:
                 task = rng.choice(list(job.live))
-                cluster_view.note_over(EndedAttempt(job.id, task, job.live[task], "done"))
-            kept = {m: cluster_view.capacity(m) for m in cluster_view.machines()}
-            usable = cluster_view.usable_capacities(0.5)
-            cluster_view.recount()
-            fresh = {m: cluster_view.capacity(m) for m in cluster_view.machines()}
+                cluster_view.note_ended(EndedAttempt(job.id, task, job.live[task], "done"))
+            kept = {m: cluster_view.free_capacity(m) for m in cluster_view.machines()}
+            usable = cluster_view.usable_free_capacities(0.5)
+            cluster_view.types_changed()
+            fresh = {m: cluster_view.free_capacity(m) for m in cluster_view.machines()}
             assert kept == fresh
             assert usable == {m: r for m, r in fresh.items() if r and r.usable and r.cpus >= 0.5}
 
--- a/tools/capacity/controller_state.py
+++ b/tools/capacity/controller_state.py
@@ -7,14 +7,14 @@
 
 from sandladder.agents import LeaseExpiryProof, Reconciler
 from sandladder.config import (
-    Cloud,
+    AgentSettings,
+    CloudSettings,
     Deployment,
-    External,
     Platform,
+    ServiceAddresses,
     Settings,
-    State,
+    StoreSettings,
     TeamLimits,
-    WorkerSettings,
 )
 from sandladder.jobs import start, submit
 from sandladder.model import (
@@ -25,13 +25,13 @@
     JobSpec,
     MachineType,
     Placement,
-    ReportedTask,
+    TaskStatus,
     TeamAssignment,
 )
 from sandladder.scheduling import ClusterView, Gate, Planner
 from sandladder.state import (
     SCHEMA_VERSION_KEY,
-    TEAM,
+    TEAM_PREFIX,
     StateCache,
     StoreLimits,
     Transaction,
@@ -63,12 +63,12 @@
         location=ZONES[0],
         api_addr="127.0.0.1:1",
         mesh_addr="127.0.0.1:2",
-        external=External("127.0.0.1:3", "127.0.0.1:4"),
+        external=ServiceAddresses("127.0.0.1:3", "127.0.0.1:4"),
         deployment=Deployment(
             zones=list(ZONES),
-            workers=WorkerSettings(report_s=2.5, lease_s=16.0, cancel_s=40.0),
-            state=State(rps=300.0, write_rps=20.0, value_kb=value_kb, txn_ops=12),
-            cloud=Cloud(rps=10.0, list_lag_s=6.0),
+            workers=AgentSettings(report_s=2.5, lease_s=16.0, cancel_s=40.0),
+            state=StoreSettings(rps=300.0, write_rps=20.0, value_kb=value_kb, txn_ops=12),
+            cloud=CloudSettings(rps=10.0, list_lag_s=6.0),
             teams=[TeamLimits(team_name(n), 8.0, 4000.0) for n in range(teams)],
         ),
     )
@@ -92,7 +92,7 @@
     return f"vm-{number:06d}"
 
 
-def heartbeat(number: int, entries: list[ReportedTask], seq: int = 1) -> AgentHeartbeat:
+def heartbeat(number: int, entries: list[TaskStatus], seq: int = 1) -> AgentHeartbeat:
     """A heartbeat with the status of a machine's tasks."""
     name, zone = machine_name(number), ZONES[number % len(ZONES)]
     return AgentHeartbeat(
@@ -105,18 +105,18 @@
 ) -> ControllerState:
     """The state with so many machines that report to this controller, and no jobs."""
     cache, reconciler, gate = StateCache(), Reconciler(), Gate()
-    cache.types[TYPE.name] = TYPE
+    cache.machine_types[TYPE.name] = TYPE
     settings = Settings(platform(teams, controllers, value_kb))
     names = [f"node-{n}" for n in range(controllers)]
     lease_expiry = LeaseExpiryProof(NODE, names, 16.0, 0.0)
     cluster_view = ClusterView(settings, cache, reconciler, lease_expiry, gate)
-    reconciler.new_term(FENCING_TOKEN)
+    reconciler.adopt_fencing_token(FENCING_TOKEN)
     for number in range(machines):
-        heard = reconciler.heard(heartbeat(number, []), 0.0, direct=False)
-        cluster_view.heard(heard.agent)
+        heard = reconciler.receive_heartbeat(heartbeat(number, []), 0.0, direct=False)
+        cluster_view.record_heartbeat(heard.agent)
     limits = StoreLimits(settings.platform.deployment.state, cache)
     records = [(SCHEMA_VERSION_KEY, schema_version_value(SCHEMA_V2))]
-    records += [(TEAM + team_name(n), assignment_value(ASSIGNMENT)) for n in range(teams)]
+    records += [(TEAM_PREFIX + team_name(n), assignment_value(ASSIGNMENT)) for n in range(teams)]
     apply(cache, records)
     return ControllerState(
         cache, cluster_view, Planner(cluster_view, limits, Random(1)), limits, reconciler
@@ -126,7 +126,7 @@
 def apply(cache: StateCache, changes: list[tuple[str, object]]) -> None:
     """Apply changes as if the store had just committed them."""
     revision = cache.revision + 1
-    cache.wrote(revision, changes)
+    cache.apply_own_commit(revision, changes)
     cache.apply(revision, [])
 
 
--- a/tools/capacity/message_sizes.py
+++ b/tools/capacity/message_sizes.py
@@ -16,26 +16,26 @@
     MachineInventory,
     MachineStatus,
     Member,
-    ReportedTask,
+    TaskStatus,
 )
-from sandladder.protocol import wire
-from sandladder.state import Transaction, fold_inventory, instances_value
+from sandladder.protocol import agent_messages, dumps
+from sandladder.state import Transaction, instances_value, inventory_values_v2
 from sandladder.transport import Response, peer_messages
 from sandladder.transport.http_server import encode_response
 
 
-def reported_tasks(tasks: int) -> list[ReportedTask]:
+def reported_tasks(tasks: int) -> list[TaskStatus]:
     """The status of so many running tasks."""
-    return [ReportedTask(f"job-{n % 40:06d}", n, 1, "running", "", False) for n in range(tasks)]
+    return [TaskStatus(f"job-{n % 40:06d}", n, 1, "running", "", False) for n in range(tasks)]
 
 
 def heartbeat_body(tasks: int) -> bytes:
     """A worker's heartbeat as it is sent."""
     found = controller_state.heartbeat(7, reported_tasks(tasks))
     items = [
-        {"entry": f"{e.job}/{e.task}", "try": e.attempt, "standing": e.state} for e in found.entries
+        {"entry": f"{e.job}/{e.task}", "try": e.attempt, "standing": e.state} for e in found.tasks
     ]
-    return wire.dumps(
+    return dumps(
         {
             "rung": found.machine, "addr": found.addr, "breed": found.type,
             "district": found.zone, "loaners": found.spot, "shift": 1, "tally": 88,
@@ -47,7 +47,7 @@
 def command_body(number: int) -> bytes:
     """So many commands to start tasks as they are sent."""
     starts = [Command("start", f"job-{n % 40:06d}", n, 1) for n in range(number)]
-    return wire.dumps(wire.commands_value(41, starts) | {"shift": 1})
+    return dumps(agent_messages.commands_value(41, starts) | {"shift": 1})
 
 
 def peer_heartbeat(controllers: int) -> bytes:
@@ -104,7 +104,7 @@
         yield row("roster", "controllers", controllers, len(controller_state.encoded(roster)))
     for machines in (50, 100, 150, 200, 300):
         whole = sum(
-            len(controller_state.encoded(v)) for v in fold_inventory(inventory(machines), 1e9)
+            len(controller_state.encoded(v)) for v in inventory_values_v2(inventory(machines), 1e9)
         )
         yield row("room summary", "workers", machines, whole)
         instances = {
--- a/tools/capacity/step_times.py
+++ b/tools/capacity/step_times.py
@@ -13,9 +13,9 @@
 from sandladder.autoscaling import ScalingPolicy
 from sandladder.config import TeamLimits
 from sandladder.jobs import end, start
-from sandladder.model import EndedAttempt, Placement, ReportedTask
-from sandladder.protocol import wire
-from sandladder.state import JOB, StateCache, Transaction
+from sandladder.model import EndedAttempt, Placement, TaskStatus
+from sandladder.protocol import agent_messages, loads, store_messages
+from sandladder.state import JOB_PREFIX, StateCache, Transaction
 from sandladder.transport import Response
 
 
@@ -28,7 +28,7 @@
 
     for tasks in (0, 4, 8, 16, 32):
         body = heartbeat_body(tasks)
-        parsed = watch.steps(lambda body=body: wire.parse_report(wire.loads(body)), 300)
+        parsed = watch.steps(lambda body=body: agent_messages.parse_heartbeat(loads(body)), 300)
         yield row("report parsed", "tasks on the worker", tasks, parsed)
         yield row("report answered", "tasks on the worker", tasks, _answered(watch, tasks))
     for size in (0, 400, 800, 1600, 3200):
@@ -62,13 +62,13 @@
     def step() -> None:
         nonlocal seq
         seq += 1
-        running = [ReportedTask(name, 0, 1, "running", "", False) for name in ids[:tasks]]
+        running = [TaskStatus(name, 0, 1, "running", "", False) for name in ids[:tasks]]
         heartbeat = controller_state.heartbeat(0, running, seq)
-        agent = built.reconciler.heard(heartbeat, 1.0, direct=False).agent
-        built.cluster_view.heard(agent)
+        agent = built.reconciler.receive_heartbeat(heartbeat, 1.0, direct=False).agent
+        built.cluster_view.record_heartbeat(agent)
         agent.synced = True
-        built.reconciler.ends(agent, built.cache)
-        built.reconciler.answer(agent, built.cache)
+        built.reconciler.proved_ends(agent, built.cache)
+        built.reconciler.response_commands(agent, built.cache)
 
     return watch.steps(step, 100)
 
@@ -92,17 +92,17 @@
         end(change, [ended], 1.0)
         start(change, job_id, placement, limits, controller_state.ASSIGNMENT)
         changes = change.changes()
-        wire.commit_body(change.expected_versions.items(), changes, [])
+        store_messages.commit_body(change.expected_versions.items(), changes, [])
         return [(key, value) for key, value, _ in changes]
 
-    value = dict(write())[JOB + job_id]
+    value = dict(write())[JOB_PREFIX + job_id]
     other = controller_state.build(1).cache
     number = 0
 
     def read() -> None:
         nonlocal number
         number += 1
-        other.apply(1000 + number, [(JOB + job_id, value, 1000 + number)])
+        other.apply(1000 + number, [(JOB_PREFIX + job_id, value, 1000 + number)])
 
     return watch.steps(write, 20), watch.steps(read, 20)
 
@@ -127,7 +127,7 @@
     waiting = [full.cache.jobs[n] for n in controller_state.add_jobs(full, 24, 1, first=machines)]
     nothing = watch.steps(lambda: full.planner.plan(waiting, {}), 3)
     policy = ScalingPolicy(full.cluster_view)
-    rented = watch.steps(lambda: policy.rental_requests(1.0), 3)
+    rented = watch.steps(lambda: policy.scale_out_requests(1.0), 3)
     return planned, nothing, rented
 
 
@@ -151,7 +151,7 @@
         controller_state.apply(
             full.cache, [(key, value) for key, value, _ in transaction.changes()]
         )
-        full.cluster_view.touch(name)
+        full.cluster_view.machine_changed(name)
 
 
 def _restart(watch: Stopwatch, jobs: int) -> float:
@@ -163,5 +163,5 @@
     for job_id in ids:
         transaction = Transaction(built.cache)
         assert transaction.job(job_id) is not None
-        items.append((JOB + job_id, transaction.changes()[0][1], 5))
+        items.append((JOB_PREFIX + job_id, transaction.changes()[0][1], 5))
     return watch.steps(lambda: StateCache().reset(10, items), 1)
