--- a/src/sandladder/scheduling/reservation.py
+++ b/src/sandladder/scheduling/reservation.py
@@ -135,9 +135,10 @@
     def _places(self, spec: JobSpec) -> list[_Place]:
         """All machines that tasks of a job would fit on."""
         cluster_view = self._cluster_view
+        free_capacity = cluster_view.capacity  # looked up once: there are many machines
         places = []
         for machine in cluster_view.machines():
-            capacity = cluster_view.capacity(machine)
+            capacity = free_capacity(machine)
             if capacity is None or not capacity.usable or not allowed(spec, capacity):
                 continue
             kind = cluster_view.cache.types[capacity.type]
