--- a/src/sandladder/autoscaling/autoscaler.py
+++ b/src/sandladder/autoscaling/autoscaler.py
@@ -159,4 +159,5 @@
                 if self._cloud.rate_limit.delay(1) > 0:
                     break  # the most urgent come first; the rest is worked out anew next time
                 launches.start_soon(self._launcher.launch, request)
-                await anyio.sleep(0)  # it counts against the limit before the next one is begun
+                # It counts against the limit before the next one is begun.
+                await anyio.sleep(0)  # noqa: ASYNC115 (the same; needs no further import)
--- a/src/sandladder/config/__init__.py
+++ b/src/sandladder/config/__init__.py
@@ -26,21 +26,21 @@
 from sandladder.config.settings import Settings, load
 
 __all__ = [
+    "MIN_TXN_OPS",
     "Address",
+    "AgentSettings",
     "CloudSettings",
     "Deployment",
-    "ServiceAddresses",
-    "MIN_TXN_OPS",
     "Objective",
     "Operator",
     "PeerAddress",
     "Platform",
+    "ServiceAddresses",
     "Settings",
     "SettingsError",
     "StoreSettings",
     "TeamLimits",
-    "AgentSettings",
     "load",
-    "parse_operator",
     "parse_address",
+    "parse_operator",
 ]
--- a/src/sandladder/config/operator_file.py
+++ b/src/sandladder/config/operator_file.py
@@ -56,7 +56,7 @@
     """The value of each key, not checked yet."""
     try:
         tree = sexpdata.loads(text)
-    except Exception as error:  # sexpdata raises its own kinds and plain ones
+    except Exception as error:  # noqa: BLE001 (sexpdata raises its own kinds and plain ones)
         raise SettingsError(_SUBJECT, str(error)) from None
     head = isinstance(tree, list) and tree and isinstance(tree[0], sexpdata.Symbol)
     if not head or tree[0].value() != _HEAD:
--- a/src/sandladder/controller/controller.py
+++ b/src/sandladder/controller/controller.py
@@ -510,7 +510,7 @@
         while True:
             try:
                 await service()
-            except Exception:
+            except Exception:  # noqa: BLE001 (whatever it is, the other services go on)
                 self._duty_failed(getattr(service, "__qualname__", str(service)))
             await anyio.sleep(self.report_s / 3)
 
--- a/src/sandladder/model/jobs.py
+++ b/src/sandladder/model/jobs.py
@@ -83,15 +83,15 @@
     """
 
     __slots__ = (
-        "spec",
-        "submitted",
-        "next_attempt",
-        "done",
-        "live",
         "cancelled",
-        "errors",
         "dependencies",
+        "done",
+        "errors",
+        "live",
+        "next_attempt",
         "ready",
+        "spec",
+        "submitted",
     )
 
     def __init__(
--- a/src/sandladder/model/machines.py
+++ b/src/sandladder/model/machines.py
@@ -127,6 +127,6 @@
     fencing_token: int
     up_s: float
     revision: int
-    machines: dict[str, MachineStatus] = {}
+    machines: dict[str, MachineStatus] = {}  # noqa: RUF012 (a NamedTuple; never changed in place)
     schema_version: int = 1
     process: int = 0
--- a/src/sandladder/scheduling/__init__.py
+++ b/src/sandladder/scheduling/__init__.py
@@ -30,6 +30,7 @@
 from sandladder.scheduling.victim_selection import PreemptionVictim, WaitingTask
 
 __all__ = [
+    "UNHEALTHY_FAILURES",
     "Backlog",
     "Bin",
     "ClusterView",
@@ -48,7 +49,6 @@
     "PremiseKind",
     "Reservation",
     "Resource",
-    "UNHEALTHY_FAILURES",
     "Shortage",
     "Verdict",
     "WaitingTask",
--- a/src/sandladder/scheduling/bin_packing.py
+++ b/src/sandladder/scheduling/bin_packing.py
@@ -13,7 +13,7 @@
 class Bin:
     """What is free on a machine that is there, boots, or would be rented."""
 
-    __slots__ = ("kind", "offer", "cpus", "gpus", "memory_gb")
+    __slots__ = ("cpus", "gpus", "kind", "memory_gb", "offer")
 
     def __init__(self, kind: MachineType, zone: str, spot: bool) -> None:
         """An empty machine of a type."""
--- a/src/sandladder/scheduling/premises.py
+++ b/src/sandladder/scheduling/premises.py
@@ -65,12 +65,12 @@
     """A task that is to start, placed but not committed, with the premises of that decision."""
 
     __slots__ = (
-        "spec",
+        "commit_in_flight",
         "placement",
-        "reporting_controller",
         "premises",
         "read_versions",
-        "commit_in_flight",
+        "reporting_controller",
+        "spec",
     )
 
     def __init__(
--- a/src/sandladder/state/cache/state_cache.py
+++ b/src/sandladder/state/cache/state_cache.py
@@ -141,7 +141,7 @@
             self.add_finished_job(
                 key[len(FINISHED_JOB_PREFIX) :], read_finished_job(value, version)
             )
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001 (any malformed record)
             log.error("the record %s cannot be read: %s", key, error)
 
     def _join(self) -> dict[str, None]:
@@ -150,7 +150,7 @@
         for key in self._split.unjoined:
             try:
                 value = self._split.join(key)
-            except Exception as error:
+            except Exception as error:  # noqa: BLE001 (any malformed record)
                 self._mark_unreadable(key, repr(error))
                 continue
             if value is not None:
@@ -164,7 +164,7 @@
             self._read(key, value)
         except UnknownSchemaVersionError:
             raise
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001 (any malformed record)
             self._mark_unreadable(key, repr(error))
         else:
             self.unreadable.discard(key)
--- a/tests/membership/test_faults.py
+++ b/tests/membership/test_faults.py
@@ -1,6 +1,6 @@
 """Whole controllers through each kind of fault, also with a slow state service."""
 
-from collections.abc import Awaitable, Callable
+from collections.abc import Callable, Coroutine
 from typing import Any
 
 import anyio
@@ -9,7 +9,7 @@
 from simulation import SimulatedCluster, job, now, run
 from simulation.workloads import wait_until_healthy
 
-Fault = Callable[[SimulatedCluster, int], Awaitable[None]]
+Fault = Callable[[SimulatedCluster, int], Coroutine[Any, Any, None]]
 # Of the simulation, in seconds: an agent's lease, a controller's, between an agent's heartbeats.
 AGENT_LEASE_S, CONTROLLER_LEASE_S, REPORT_S = 12.0, 24.0, 2.0
 
--- a/tests/simulation/cluster.py
+++ b/tests/simulation/cluster.py
@@ -166,7 +166,7 @@
     """Whether a machine runs, is whole, and is of a kind that a job allows."""
     if machine.state != "running" or machine.faulty or machine.notice_until is not None:
         return False
-    if machine.spot and not spec["loaners"] or spec["district"] not in (None, machine.zone):
+    if (machine.spot and not spec["loaners"]) or spec["district"] not in (None, machine.zone):
         return False
     return spec["breeds"] is None or machine.kind in spec["breeds"]
 
--- a/tests/test_autoscaling.py
+++ b/tests/test_autoscaling.py
@@ -98,7 +98,7 @@
 
 
 def test_what_gpus_in_use_leave_of_their_machine_may_be_used() -> None:
-    cluster_view, planner, cache = scene_with_gpus({"vm-8": "north"})
+    _, planner, cache = scene_with_gpus({"vm-8": "north"})
     gang = accept(cache, entries=1, form="group", **GPU_TASK)
     planner.plan([gang], {})
     small = accept(cache, number=2, entries=100, vcpus=1.0, ram_gb=1.0)
--- a/tests/test_cancelled_during_reassignment.py
+++ b/tests/test_cancelled_during_reassignment.py
@@ -96,7 +96,7 @@
     found: dict[str, float] = {}
     for at, key, value in cluster.store.history:
         cancelled = isinstance(value, dict) and value.get("c")
-        cancelled = cancelled or isinstance(value, list) and value and value[0] == "cancelled"
+        cancelled = cancelled or (isinstance(value, list) and value and value[0] == "cancelled")
         if key.startswith("s/j/") and cancelled:
             found.setdefault(key[4:], at)
     return [(at, job_id) for job_id, at in found.items()]
@@ -160,7 +160,7 @@
             if number % 4 == 0 and number // 4 < len(self.more):
                 tasks.start_soon(self._cluster.submit, self.more[number // 4], 240)
             moves = self.moves()
-            if number % 4 == 0 or moves and now() - moves[-1] < CLOSE_S:
+            if number % 4 == 0 or (moves and now() - moves[-1] < CLOSE_S):
                 self._cancel_one(prefer_new=bool(number % 8))
             await anyio.sleep(0.25)
             if self._over and number > 60:
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -158,7 +158,7 @@
 def test_a_request_without_a_response_in_time_is_an_error() -> None:
     async def test(port: int) -> None:
         client = HttpClient("127.0.0.1", port)
-        with pytest.raises(HttpError, match="no answer within 0.1 s"):
+        with pytest.raises(HttpError, match=r"no answer within 0\.1 s"):
             await client.request("GET", "/never", timeout=0.1)
 
     run_with_server(test)
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -139,7 +139,7 @@
     value_kb: float, schema_version: int
 ) -> None:
     """Each task alone on some machine, on none twice, and every other one done."""
-    cluster_view, planner, cache, _ = scene(value_kb)
+    _, planner, cache, _ = scene(value_kb)
     cache.schema_version = schema_version
     limits = planner.store_limits
     found = Job(spec(entries=100_000), 1e9)
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -1,7 +1,7 @@
 """The scale run, small: the same code, with rules and counts but no times."""
 
 import argparse
-from typing import Any
+from typing import Any, ClassVar
 
 from scale_run import ScaleCluster, percentile, play, teams
 
@@ -28,7 +28,7 @@
     checked: list[int] = []
 
     class Task:
-        spec = {"id": "job-000001", "bureau": "red", "vcpus": 2.0, "gpus": 0.0}
+        spec: ClassVar = {"id": "job-000001", "bureau": "red", "vcpus": 2.0, "gpus": 0.0}
         name, on_machine = "job-000001/0", True
 
     async def main() -> None:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -97,7 +97,7 @@
     ],
 )
 def test_operator_settings_that_are_mistaken_are_refused(text: str) -> None:
-    with pytest.raises(SettingsError, match="^operator settings: "):
+    with pytest.raises(SettingsError, match=r"^operator settings: "):
         parse_operator(text)
 
 
--- a/tests/test_vocabulary.py
+++ b/tests/test_vocabulary.py
@@ -5,6 +5,7 @@
 """
 
 import ast
+import itertools
 import re
 from collections.abc import Iterator
 from pathlib import Path
@@ -119,7 +120,7 @@
     """The name without leading underscores, its parts, and its parts with a unit."""
     snake = re.sub(r"(?<=[a-z0-9])(?=[A-Z])", "_", identifier).lower().strip("_")
     parts = snake.split("_")
-    pairs = {f"{first}_{second}" for first, second in zip(parts, parts[1:], strict=False)}
+    pairs = {f"{first}_{second}" for first, second in itertools.pairwise(parts)}
     return {snake, *parts, *pairs}
 
 
--- a/tools/capacity/controller_state.py
+++ b/tools/capacity/controller_state.py
@@ -115,7 +115,7 @@
         heard = reconciler.receive_heartbeat(heartbeat(number, []), 0.0, direct=False)
         cluster_view.record_heartbeat(heard.agent)
     limits = StoreLimits(settings.platform.deployment.state, cache)
-    records = [(SCHEMA_VERSION_KEY, schema_version_value(SCHEMA_V2))]
+    records: list[tuple[str, object]] = [(SCHEMA_VERSION_KEY, schema_version_value(SCHEMA_V2))]
     records += [(TEAM_PREFIX + team_name(n), assignment_value(ASSIGNMENT)) for n in range(teams)]
     apply(cache, records)
     return ControllerState(
--- a/tools/capacity/memory_use.py
+++ b/tools/capacity/memory_use.py
@@ -6,6 +6,7 @@
 import gc
 import tracemalloc
 from collections.abc import Callable, Iterator
+from functools import partial
 
 from capacity import controller_state
 from capacity.controller_state import ControllerState
@@ -19,18 +20,16 @@
         return Row(run, quantity, varied, size, value, "bytes of memory")
 
     for jobs in (100, 300, 600, 1000, 1500):
-        yield row(
-            "a job with one live task", "live jobs", jobs, _kept_bytes(lambda n=jobs: _jobs(n))
-        )
+        yield row("a job with one live task", "live jobs", jobs, _kept_bytes(partial(_jobs, jobs)))
     for tasks in (100, 200, 400, 800, 1000):
-        kept = _kept_bytes(lambda n=tasks: _one_job(n))
+        kept = _kept_bytes(partial(_one_job, tasks))
         yield row("a live task of a job", "live tasks", tasks, kept)
     for machines in (100, 300, 600, 1000, 1300):
         yield row(
             "a worker",
             "workers",
             machines,
-            _kept_bytes(lambda n=machines: controller_state.build(n)),
+            _kept_bytes(partial(controller_state.build, machines)),
         )
 
 
--- a/tools/capacity/message_sizes.py
+++ b/tools/capacity/message_sizes.py
@@ -20,7 +20,7 @@
 )
 from sandladder.protocol import agent_messages, dumps
 from sandladder.state import Transaction, instances_value, inventory_values_v2
-from sandladder.transport import Response, peer_messages
+from sandladder.transport import LinkObservation, Response, peer_messages
 from sandladder.transport.http_server import encode_response
 
 
@@ -47,13 +47,13 @@
 def command_body(number: int) -> bytes:
     """So many commands to start tasks as they are sent."""
     starts = [Command("start", f"job-{n % 40:06d}", n, 1) for n in range(number)]
-    return dumps(agent_messages.commands_value(41, starts) | {"shift": 1})
+    return agent_messages.direct_commands_body(1, 41, starts)
 
 
 def peer_heartbeat(controllers: int) -> bytes:
     """A heartbeat between controllers as it is sent."""
     peers = [f"node-{n}" for n in range(controllers - 1)]
-    heard = dict.fromkeys(peers, (0.123, False))
+    heard = dict.fromkeys(peers, LinkObservation(0.123, False))
     echoes = {name: ClockReading(1 << 39, 12345.678) for name in peers}
     found = peer_messages.PeerHeartbeat(
         "node-8", True, 10, 2, 9, 9, 0.01, 144, False, heard, 1 << 39, 12345.678, echoes, [], True
--- a/tools/capacity/step_times.py
+++ b/tools/capacity/step_times.py
@@ -4,6 +4,7 @@
 """
 
 from collections.abc import Iterator
+from functools import partial
 
 from capacity import controller_state
 from capacity.controller_state import ControllerState
@@ -19,6 +20,10 @@
 from sandladder.transport import Response
 
 
+def _parse(body: bytes) -> object:
+    return agent_messages.parse_heartbeat(loads(body))
+
+
 def times_of_steps(run: str) -> Iterator[Row]:
     """Processor time of the steps that the load is made of, in reference steps."""
     watch = Stopwatch()
@@ -28,7 +33,7 @@
 
     for tasks in (0, 4, 8, 16, 32):
         body = heartbeat_body(tasks)
-        parsed = watch.steps(lambda body=body: agent_messages.parse_heartbeat(loads(body)), 300)
+        parsed = watch.steps(partial(_parse, body), 300)
         yield row("report parsed", "tasks on the worker", tasks, parsed)
         yield row("report answered", "tasks on the worker", tasks, _answered(watch, tasks))
     for size in (0, 400, 800, 1600, 3200):
--- a/tools/handover.py
+++ b/tools/handover.py
@@ -126,7 +126,7 @@
     logging.disable(logging.CRITICAL)
     print("| fault | controllers | suspected p50 / p95, s | handed over p50 / p95, s | moves, most "
           "| others accused |\n| --- | --- | --- | --- | --- | --- |")  # fmt: skip
-    bad = 0
+    bad: float = 0
     for name, (fault, for_s, over) in FAULTS.items():
         for count in (3, 7):
             seen = [night(count, fault, for_s, seed) for seed in range(options.nights)]
@@ -149,10 +149,10 @@
             cluster.run(rng.uniform(2.0, 10.0))
             cluster.late_s.pop(name, None)
         doubts = sum(change.kind in ACCUSATIONS for _, _, change in cluster.changes[changes:])
-        moves = sum(cluster.moves(start).values())
-        bad += doubts + moves
+        moved = sum(cluster.moves(start).values())
+        bad += doubts + moved
         print(f"| none, {options.hours:g} h of slow moments | {count} | {doubts} doubts | "
-              f"{moves} hand-overs | {moves} | {doubts} |")  # fmt: skip
+              f"{moved} hand-overs | {moved} | {doubts} |")  # fmt: skip
     return 1 if bad else 0
 
 
