--- a/src/sandladder/agents/lease_renewal.py
+++ b/src/sandladder/agents/lease_renewal.py
@@ -50,6 +50,8 @@
         suspended = not self._renewal_guard.permits_renewal(now)
         if suspended != self._suspended:
             self._suspended = suspended
-            change = "are not renewed" if suspended else "are renewed again"
-            log.warning("agent leases %s: %s", change, self._renewal_guard.explain(now))
+            if suspended:
+                log.warning("agent leases are not renewed: %s", self._renewal_guard.explain(now))
+            else:
+                log.warning("agent leases are renewed again: %s", self._renewal_guard.explain(now))
         return suspended
--- a/src/sandladder/jobs/job_committer.py
+++ b/src/sandladder/jobs/job_committer.py
@@ -228,7 +228,7 @@
         try:
             await change.wait()
         except PreconditionFailedError as refusal:
-            log.error("%s: %s", change.name, refusal)
+            log.error("the change %s was refused: %s", change.name, refusal)
         self._under_way.discard(job_id)
         released = self._released.pop(job_id, [])
         job = self._cache.jobs.get(job_id)
--- a/src/sandladder/state/batch.py
+++ b/src/sandladder/state/batch.py
@@ -103,7 +103,11 @@
                 if members:
                     break
                 if trial.size > self._limits.txn_ops or trial.conditions > self._limits.conditions:
-                    log.error("%s: %d changes are too many for the store", change.name, trial.size)
+                    log.error(
+                        "the change %s needs %d operations, too many for the store",
+                        change.name,
+                        trial.size,
+                    )
                     self._resolve(change, PreconditionFailedError("too large for the store"))
                     continue
             transaction = trial.transaction
--- a/src/sandladder/state/group_commit.py
+++ b/src/sandladder/state/group_commit.py
@@ -281,7 +281,7 @@
 
     def _on_too_large(self, batch: Batch, error: TransactionTooLargeError) -> None:
         """Shrink the limits: the transaction is never tried again as it is."""
-        log.warning("%s: %s", batch.names, error)
+        log.warning("the store refused a transaction of %s: %s", batch.names, error)
         self._shrunk_at = clock.now()
         if not self._limits.shrink(len(batch.changes), batch.largest_value_bytes):
             if len(batch.members) == 1:
