--- a/tests/test_dependency_services.py
+++ b/tests/test_dependency_services.py
@@ -52,7 +52,7 @@
         transaction = Transaction(self.cache)
         assert change.apply(transaction)
         commit(self.cache, transaction)
-        change.settle()
+        change.resolve()
         return change
 
 
