--- a/tests/test_cancelled.py
+++ b/tests/test_cancelled.py
@@ -1,7 +1,7 @@
 """Cancellations during a fault: tasks of the job are gone in time, and none is started.
 
 The simulation checks these rules; each test shows that the cancellation was answered during the
-fault.  `docs/meetings.md` describes the combinations; `test_cancel_during_outage.py`,
+fault.  `docs/combined-faults.md` describes the combinations; `test_cancel_during_outage.py`,
 `test_cancelled_during_reassignment.py` and `test_cancelled_at_limit.py` have others.
 """
 
--- a/tests/test_combined_faults.py
+++ b/tests/test_combined_faults.py
@@ -1,6 +1,6 @@
 """Faults that coincide: each scenario is brought about, shown to have been, and breaks no rule.
 
-`docs/meetings.md` says of each what could go wrong and which guard prevents it.
+`docs/combined-faults.md` says of each what could go wrong and which guard prevents it.
 """
 
 import anyio
--- a/tests/test_leaders.py
+++ b/tests/test_leaders.py
@@ -1,7 +1,7 @@
 """Leaders change while machines start, end, are cut off, or old heartbeats arrive once more.
 
 Each test shows that the fault was on while the leader changed; the rules are checked after every
-step, and everything recovers.  `docs/meetings.md` describes the combinations.
+step, and everything recovers.  `docs/combined-faults.md` describes the combinations.
 """
 
 from typing import Any
--- a/tests/test_read_consistency.py
+++ b/tests/test_read_consistency.py
@@ -1,7 +1,7 @@
 """No controller answers a user with something older than any controller answered before.
 
 Asked at every node, in real order, whatever the request and its moment.  `answers.py` compares the
-answers; `docs/meetings.md` lists the combinations of faults that are played.
+answers; `docs/combined-faults.md` lists the combinations of faults that are played.
 """
 
 from typing import Any
