--- a/src/sandladder/model/dependencies.py
+++ b/src/sandladder/model/dependencies.py
@@ -30,7 +30,7 @@
     """The dependencies of the live jobs, kept up to date by the state cache."""
 
     def __init__(self, jobs: dict[str, Job]) -> None:
-        """`jobs`: the live jobs by id, which the owner changes before it calls `changed`."""
+        """`jobs`: the live jobs by id, which the owner changes before it calls `update`."""
         self._jobs = jobs
         self._dependents: dict[str, dict[str, None]] = {}  # by job, those that name it
         self._dependencies: dict[str, tuple[str, ...]] = {}  # by job, those that it names
--- a/src/sandladder/state/transaction.py
+++ b/src/sandladder/state/transaction.py
@@ -22,7 +22,7 @@
     Attributes:
         cache: the records as they are.
         value_bytes: how long a value may be, in bytes; longer records are split.
-        unsure: keys that a transaction without an answer relied on, at the version that it relied
+        in_doubt: keys that a transaction without an answer relied on, at the version that it relied
             on: nothing relies on them again before they have moved past it.
         expected_versions: by key, the version at which it must be for the transaction to apply.
         jobs: by id, the jobs that it changes; None for those that it ends.
@@ -30,7 +30,7 @@
         teams: by name, the team records that it changes, in schema version 1.
         usage: by team, what the live attempts use, in version 2, where it differs from the cache.
         instances: all instances, if it changes any.
-        others: by key, all other records.
+        other_records: by key, all other records.
     """
 
     def __init__(
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -31,7 +31,7 @@
 
 
 def test_rejections_leave_most_of_the_write_rate() -> None:
-    """Seen in a measured day: chance meetings of two controllers shrank it to a third."""
+    """Seen in a measured day: chance conflicts of two controllers shrank it to a third."""
 
     async def body() -> None:
         bucket = AdaptiveTokenBucket(15.0)
