--- a/src/sandladder/scheduling/preemption.py
+++ b/src/sandladder/scheduling/preemption.py
@@ -10,10 +10,10 @@
 from sandladder.model.quota import TeamUsage
 from sandladder.scheduling.cluster_view import allowed, fits, holds, less
 from sandladder.scheduling.planner import Planner
-from sandladder.scheduling.premises import Room
+from sandladder.scheduling.premises import FreeCapacity
 
 
-class Victim(NamedTuple):
+class PreemptionVictim(NamedTuple):
     """A running task that is to make room."""
 
     job: str
@@ -24,23 +24,25 @@
     claim: tuple[str, int] | None = None  # the job and task that gets the room
 
 
-class Evictor:
+class PreemptionPolicy:
     """Chooses the tasks that are to make room or to move."""
 
     def __init__(self, planner: Planner) -> None:
         self._planner = planner
         self._claims: dict[tuple[str, int], float] = {}  # stops are under way for these
         # Running tasks whose stop was decided and waits to be committed, by job and task.
-        self._stopping: dict[tuple[str, int], Victim] = {}
+        self._stopping: dict[tuple[str, int], PreemptionVictim] = {}
 
-    def settled(self, victim: Victim) -> None:
+    def settled(self, victim: PreemptionVictim) -> None:
         """The stop of a task was committed, or fell away."""
         self._stopping.pop((victim.job, victim.task), None)
 
-    def preempt(self, owned: Iterable[Job], barred: dict[str, float]) -> list[Victim]:
+    def preempt(
+        self, owned: Iterable[Job], backing_off: dict[str, float]
+    ) -> list[PreemptionVictim]:
         """Running tasks of lower priority to stop for work that must start at once."""
-        picture = self._planner.picture
-        report_s = picture.settings.platform.deployment.workers.report_s
+        cluster_view = self._planner.cluster_view
+        report_s = cluster_view.settings.platform.deployment.workers.report_s
         # A claim lasts as long as a stop for it waits to be committed, and room that is to come
         # on a machine counts once.  Seen in a measured day: while the store's write rate held them
         # up, the same victims were chosen for job after job.
@@ -48,12 +50,12 @@
         self._claims = {
             claim: until
             for claim, until in self._claims.items()
-            if until > picture.now or claim in waited_for
+            if until > cluster_view.now or claim in waited_for
         }
-        if not picture.mirror.types:
+        if not cluster_view.cache.types:
             return []
-        boot_s = min(kind.boot_s for kind in picture.mirror.types.values())
-        victims: list[Victim] = []
+        boot_s = min(kind.boot_s for kind in cluster_view.cache.types.values())
+        victims: list[PreemptionVictim] = []
         emptied = frozenset(victim.machine for victim in self._stopping.values())
         chosen: set[tuple[str, int]] = set()
         waiting = (job for job in owned if job.spec.priority >= PRODUCTION and job.waiting)
@@ -64,69 +66,69 @@
             urgent = spec.priority >= PRODUCTION and within is not None and within < boot_s
             if not urgent or within is None or spec.kind == GANG or not job.waiting:
                 continue
-            if not picture.mirror.pipelines.ready(job):
+            if not cluster_view.cache.dependency_index.ready(job):
                 continue
-            if barred.get(job.id, 0.0) > picture.now:
+            if backing_off.get(job.id, 0.0) > cluster_view.now:
                 continue
-            left = picture.team_left(spec.team)
+            left = cluster_view.team_left(spec.team)
             for task in job.pending():
                 key = (job.id, task)
                 if not left.covers(spec):
                     break
                 left = left.less(TeamUsage().plus(spec, 1))
-                if key in self._claims or key in picture.gate.pending:
+                if key in self._claims or key in cluster_view.gate.pending:
                     continue
                 found = self._victims(job, task, within, chosen, emptied)
                 if found is None:
                     break
-                self._claims[key] = picture.now + 2 * report_s
+                self._claims[key] = cluster_view.now + 2 * report_s
                 chosen.update((v.job, v.task) for v in found)
                 self._stopping.update({(v.job, v.task): v for v in found})
                 victims += found
         return victims
 
-    def moves(self, owned: Iterable[Job]) -> list[Victim]:
+    def moves(self, owned: Iterable[Job]) -> list[PreemptionVictim]:
         """Replicas to move off machines that are about to go, once there is room elsewhere."""
-        picture = self._planner.picture
-        report_s = picture.settings.platform.deployment.workers.report_s
-        rooms: dict[str, Room] | None = None
-        found: list[Victim] = []
-        leaving = picture.leaving_machines()
+        cluster_view = self._planner.cluster_view
+        report_s = cluster_view.settings.platform.deployment.workers.report_s
+        capacities: dict[str, FreeCapacity] | None = None
+        found: list[PreemptionVictim] = []
+        leaving = cluster_view.leaving_machines()
         if not leaving:
             return found
         ours = {job.id for job in owned if job.spec.kind == SERVICE and not job.cancelled}
         for machine in leaving:
-            for job, task, attempt in picture.mirror.attempts_on(machine):
+            for job, task, attempt in cluster_view.cache.attempts_on(machine):
                 spec = job.spec
                 if job.id not in ours:
                     continue
                 key = (job.id, task)
                 if attempt.stop is not None or key in self._claims:
                     continue
-                sight = picture.sight(attempt.machine)
-                if sight is None or picture.age_s(sight) > picture.late_s:
+                observation = cluster_view.observation(attempt.machine)
+                if observation is None or cluster_view.age_s(observation) > cluster_view.late_s:
                     # Silent: it cannot be told, and is returned with all that is on it.  Seen
                     # in a measured day: a change of the store for each replica there.
                     continue
-                reason = picture.leaving(attempt.machine)
+                reason = cluster_view.leaving(attempt.machine)
                 # Draining can take its time: one replica of a service after the other.
                 if not reason or (reason == "draining" and any(v.reason == reason for v in found)):
                     continue
-                if rooms is None:
-                    rooms = picture.usable_rooms()
+                if capacities is None:
+                    capacities = cluster_view.usable_capacities()
                 zones = [a.zone for t, a in job.live.items() if t != task]
                 fitting = {
-                    name: room
-                    for name, room in rooms.items()
-                    if allowed(spec, room) and holds(room, spec)
+                    name: capacity
+                    for name, capacity in capacities.items()
+                    if allowed(spec, capacity) and holds(capacity, spec)
                 }
                 places = self._planner.choose(spec, fitting, zones, 1)
                 if not places:
                     continue
-                rooms[places[0].id] = less(places[0], spec)
-                self._claims[key] = picture.now + 2 * report_s
+                capacities[places[0].id] = less(places[0], spec)
+                self._claims[key] = cluster_view.now + 2 * report_s
                 grace = 1.5 * spec.save_s
-                found.append(Victim(job.id, task, attempt.machine, grace, reason))
+                found.append(PreemptionVictim(job.id, task, attempt.machine, grace, reason))
         return found
 
     def _victims(
@@ -136,26 +138,26 @@
         within_s: float,
         chosen: set[tuple[str, int]],
         emptied: frozenset[str],
-    ) -> list[Victim] | None:
+    ) -> list[PreemptionVictim] | None:
         """The cheapest set of tasks on one machine whose end makes room for a task."""
-        picture, spec = self._planner.picture, job.spec
+        cluster_view, spec = self._planner.cluster_view, job.spec
         zones = [attempt.zone for attempt in job.live.values()]
         in_time = self._planner.in_time(job)
-        best: tuple[float, list[Victim]] | None = None
-        for machine, room in picture.usable_rooms().items():
-            if machine in emptied or not allowed(spec, room):
+        best: tuple[float, list[PreemptionVictim]] | None = None
+        for machine, capacity in cluster_view.usable_capacities().items():
+            if machine in emptied or not allowed(spec, capacity):
                 continue
-            if not zones_allowed(spec, [*zones, room.zone]):
+            if not zones_allowed(spec, [*zones, capacity.zone]):
                 continue
-            if in_time is not None and not in_time(room):
+            if in_time is not None and not in_time(capacity):
                 continue
-            cpus, gpus, memory = room.cpus, room.gpus, room.memory_gb
-            if any(a.stop is not None for _, _, a in picture.mirror.attempts_on(machine)):
+            cpus, gpus, memory = capacity.cpus, capacity.gpus, capacity.memory_gb
+            if any(a.stop is not None for _, _, a in cluster_view.cache.attempts_on(machine)):
                 continue  # room is being made there already
-            cost = 2 * picture.fetch_s(spec, room)
-            found: list[Victim] = []
+            cost = 2 * cluster_view.fetch_s(spec, capacity)
+            found: list[PreemptionVictim] = []
             running = sorted(
-                picture.mirror.attempts_on(machine),
+                cluster_view.cache.attempts_on(machine),
                 key=lambda item: (item[0].spec.priority, -item[2].attempt, -item[1]),
             )
             for other, task, _ in running:
@@ -173,7 +175,7 @@
                 grace = 1.5 * lesser.save_s if saves else 0.0
                 cost += (lesser.estimate_s * lesser.cpus / spec.cpus) * (0.2 if saves else 1.0)
                 claim = job.id, waiting
-                found.append(Victim(other.id, task, machine, grace, job.id, claim))
+                found.append(PreemptionVictim(other.id, task, machine, grace, job.id, claim))
             if found and fits(spec, cpus, gpus, memory) and (best is None or cost < best[0]):
                 best = cost, found
         return best[1] if best else None
--- a/src/sandladder/scheduling/premises.py
+++ b/src/sandladder/scheduling/premises.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterable
 from typing import NamedTuple, Protocol
 
-from sandladder.model.jobs import DONE, Final, Job, JobSpec, Placement, zones_allowed
+from sandladder.model.jobs import DONE, FinishedJob, Job, JobSpec, Placement, zones_allowed
 from sandladder.model.quota import EPSILON, Headroom
 
 Resource = tuple[str, str]  # kind ("machine", "task", "job", "team") and name
@@ -25,11 +25,11 @@
     BLOCK = 3
 
 
-class Unverifiable(Exception):
+class UnverifiablePremiseError(Exception):
     """The evidence for a premise cannot be had."""
 
 
-class Room(NamedTuple):
+class FreeCapacity(NamedTuple):
     """What the picture says of one machine."""
 
     id: str
@@ -37,7 +37,7 @@
     zone: str
     spot: bool
     session: int
-    clerk: str  # the controller it reports to
+    reporting_controller: str  # the controller it reports to
     cpus: float
     gpus: float
     memory_gb: float
@@ -47,11 +47,11 @@
 class Evidence(Protocol):
     """The current picture, as premises are checked against it."""
 
-    def room(self, machine: str) -> Room | None: ...
+    def capacity(self, machine: str) -> FreeCapacity | None: ...
 
     def job(self, job_id: str) -> Job | None: ...
 
-    def settled(self, job_id: str) -> Final | None: ...
+    def settled(self, job_id: str) -> FinishedJob | None: ...
 
     def team_left(self, team: str) -> Headroom: ...
 
@@ -66,17 +66,21 @@
     severity: Outcome
 
 
-class Intent:
+class PendingStart:
     """A pending start with the premises it stands on."""
 
-    __slots__ = ("spec", "placement", "clerk", "premises", "read", "under_way")
+    __slots__ = ("spec", "placement", "reporting_controller", "premises", "read", "under_way")
 
     def __init__(
-        self, spec: JobSpec, placement: Placement, clerk: str, awaits: Iterable[str] = ()
+        self,
+        spec: JobSpec,
+        placement: Placement,
+        reporting_controller: str,
+        dependencies: Iterable[str] = (),
     ) -> None:
         self.spec = spec
         self.placement = placement
-        self.clerk = clerk
+        self.reporting_controller = reporting_controller
         machine = ("machine", placement.machine)
         job = ("job", spec.id)
         self.premises = (
@@ -88,7 +92,7 @@
             Premise("live", job, Outcome.BLOCK),
             Premise("zones", job, Outcome.REPLAN),
             Premise("limit", ("team", spec.team), Outcome.REPLAN),
-            *(Premise("after", ("job", name), Outcome.BLOCK) for name in awaits),
+            *(Premise("after", ("job", name), Outcome.BLOCK) for name in dependencies),
         )
         self.read: dict[Resource, int] = {}
         self.under_way = False  # it was let through for a commit whose outcome is not known
@@ -98,74 +102,81 @@
         return self.spec.id, self.placement.task
 
 
-Check = Callable[[Intent, Evidence, Resource], bool]
+Check = Callable[[PendingStart, Evidence, Resource], bool]
 
 
-def _room(intent: Intent, evidence: Evidence, on: Resource) -> bool:
-    room = evidence.room(intent.placement.machine)
-    if room is None:
+def _room(pending_start: PendingStart, evidence: Evidence, on: Resource) -> bool:
+    capacity = evidence.capacity(pending_start.placement.machine)
+    if capacity is None:
         return False
     # The picture counts this pending start as well, so what is left must not be negative.
-    return min(room.cpus, room.gpus, room.memory_gb) >= -EPSILON
+    return min(capacity.cpus, capacity.gpus, capacity.memory_gb) >= -EPSILON
 
 
-def _reports(intent: Intent, evidence: Evidence, on: Resource) -> bool:
-    room = evidence.room(intent.placement.machine)
-    return room is not None and room.usable and room.session == intent.placement.session
+def _reports(pending_start: PendingStart, evidence: Evidence, on: Resource) -> bool:
+    capacity = evidence.capacity(pending_start.placement.machine)
+    return (
+        capacity is not None
+        and capacity.usable
+        and capacity.session == pending_start.placement.session
+    )
 
 
-def _allowed(intent: Intent, evidence: Evidence, on: Resource) -> bool:
-    room = evidence.room(intent.placement.machine)
-    if room is None:
-        raise Unverifiable("the machine is not known any more")
-    spec = intent.spec
+def _allowed(pending_start: PendingStart, evidence: Evidence, on: Resource) -> bool:
+    capacity = evidence.capacity(pending_start.placement.machine)
+    if capacity is None:
+        raise UnverifiablePremiseError("the machine is not known any more")
+    spec = pending_start.spec
     return (
-        (spec.types is None or room.type in spec.types)
-        and (spec.zone is None or room.zone == spec.zone)
-        and (spec.spot or not room.spot)
-        and room.zone == intent.placement.zone
+        (spec.types is None or capacity.type in spec.types)
+        and (spec.zone is None or capacity.zone == spec.zone)
+        and (spec.spot or not capacity.spot)
+        and capacity.zone == pending_start.placement.zone
     )
 
 
-def _clerk(intent: Intent, evidence: Evidence, on: Resource) -> bool:
-    room = evidence.room(intent.placement.machine)
-    if room is None or room.clerk == intent.clerk:
+def _reporting_controller(pending_start: PendingStart, evidence: Evidence, on: Resource) -> bool:
+    capacity = evidence.capacity(pending_start.placement.machine)
+    if capacity is None or capacity.reporting_controller == pending_start.reporting_controller:
         return True
-    intent.clerk = room.clerk
+    pending_start.reporting_controller = capacity.reporting_controller
     return False
 
 
-def _task(intent: Intent, evidence: Evidence, on: Resource) -> bool:
-    job = evidence.job(intent.spec.id)
+def _task(pending_start: PendingStart, evidence: Evidence, on: Resource) -> bool:
+    job = evidence.job(pending_start.spec.id)
     if job is None:
-        raise Unverifiable("the job is not in the records")
-    return intent.placement.task not in job.live and intent.placement.task not in job.done
+        raise UnverifiablePremiseError("the job is not in the records")
+    return (
+        pending_start.placement.task not in job.live
+        and pending_start.placement.task not in job.done
+    )
 
 
-def _live(intent: Intent, evidence: Evidence, on: Resource) -> bool:
-    job = evidence.job(intent.spec.id)
+def _live(pending_start: PendingStart, evidence: Evidence, on: Resource) -> bool:
+    job = evidence.job(pending_start.spec.id)
     return job is not None and not job.cancelled
 
 
-def _zones(intent: Intent, evidence: Evidence, on: Resource) -> bool:
-    job = evidence.job(intent.spec.id)
+def _zones(pending_start: PendingStart, evidence: Evidence, on: Resource) -> bool:
+    job = evidence.job(pending_start.spec.id)
     if job is None:
-        raise Unverifiable("the job is not in the records")
-    if not (intent.spec.one_zone or intent.spec.spread):
-        return intent.spec.zone in (None, intent.placement.zone)
+        raise UnverifiablePremiseError("the job is not in the records")
+    if not (pending_start.spec.one_zone or pending_start.spec.spread):
+        return pending_start.spec.zone in (None, pending_start.placement.zone)
     zones = [attempt.zone for attempt in job.live.values()]
-    return zones_allowed(intent.spec, [*zones, intent.placement.zone])
+    return zones_allowed(pending_start.spec, [*zones, pending_start.placement.zone])
 
 
-def _limit(intent: Intent, evidence: Evidence, on: Resource) -> bool:
-    return evidence.team_left(intent.spec.team).covers(intent.spec)
+def _limit(pending_start: PendingStart, evidence: Evidence, on: Resource) -> bool:
+    return evidence.team_left(pending_start.spec.team).covers(pending_start.spec)
 
 
-def _after(intent: Intent, evidence: Evidence, on: Resource) -> bool:
+def _after(pending_start: PendingStart, evidence: Evidence, on: Resource) -> bool:
     """Whether a job that this one awaits is done; a committed fact that never changes."""
     final = evidence.settled(on[1])
     if final is None:
-        raise Unverifiable("what the awaited job came to is not known")
+        raise UnverifiablePremiseError("what the awaited job came to is not known")
     return final.state == DONE
 
 
@@ -173,7 +184,7 @@
     "room": _room,
     "reports": _reports,
     "allowed": _allowed,
-    "clerk": _clerk,
+    "clerk": _reporting_controller,
     "task": _task,
     "live": _live,
     "zones": _zones,
@@ -186,21 +197,21 @@
     """From a resource to the pending starts whose premises rest on it."""
 
     def __init__(self) -> None:
-        self._by: dict[Resource, dict[tuple[str, int], Intent]] = {}
+        self._by: dict[Resource, dict[tuple[str, int], PendingStart]] = {}
 
-    def add(self, intent: Intent) -> None:
-        for premise in intent.premises:
-            self._by.setdefault(premise.resource, {})[intent.key] = intent
+    def add(self, pending_start: PendingStart) -> None:
+        for premise in pending_start.premises:
+            self._by.setdefault(premise.resource, {})[pending_start.key] = pending_start
 
-    def remove(self, intent: Intent) -> None:
-        for premise in intent.premises:
+    def remove(self, pending_start: PendingStart) -> None:
+        for premise in pending_start.premises:
             held = self._by.get(premise.resource)
             if held is not None:
-                held.pop(intent.key, None)
+                held.pop(pending_start.key, None)
                 if not held:
                     del self._by[premise.resource]
 
-    def resting_on(self, resource: Resource) -> Iterable[Intent]:
+    def resting_on(self, resource: Resource) -> Iterable[PendingStart]:
         """The pending starts with a premise about this resource."""
         return self._by.get(resource, {}).values()
 
@@ -216,7 +227,7 @@
 class Verdict(NamedTuple):
     """The outcome for one pending start and the premise that decided it."""
 
-    intent: Intent
+    pending_start: PendingStart
     outcome: Outcome
     reason: str
 
@@ -225,7 +236,7 @@
     """Holds pending starts and lets one through only while its premises hold."""
 
     def __init__(self) -> None:
-        self.pending: dict[tuple[str, int], Intent] = {}
+        self.pending: dict[tuple[str, int], PendingStart] = {}
         self._index = ReverseIndex()
         self.verdicts: Counter[str] = Counter()
         self.checked = 0
@@ -233,19 +244,21 @@
         # Told of each machine on which the pending starts changed.
         self.on_move: Callable[[str], object] = lambda machine: None
 
-    def admit(self, intent: Intent, evidence: Evidence) -> None:
+    def admit(self, pending_start: PendingStart, evidence: Evidence) -> None:
         """Record a decision with the versions of what it was decided on."""
-        intent.read = {p.resource: evidence.version(p.resource) for p in intent.premises}
-        self.pending[intent.key] = intent
-        self._index.add(intent)
-        self.on_move(intent.placement.machine)
+        pending_start.read = {
+            p.resource: evidence.version(p.resource) for p in pending_start.premises
+        }
+        self.pending[pending_start.key] = pending_start
+        self._index.add(pending_start)
+        self.on_move(pending_start.placement.machine)
 
-    def withdraw(self, intent: Intent) -> None:
-        if self.pending.pop(intent.key, None) is not None:
-            self._index.remove(intent)
-            self.on_move(intent.placement.machine)
+    def withdraw(self, pending_start: PendingStart) -> None:
+        if self.pending.pop(pending_start.key, None) is not None:
+            self._index.remove(pending_start)
+            self.on_move(pending_start.placement.machine)
 
-    def on_machine(self, machine: str) -> Iterable[Intent]:
+    def on_machine(self, machine: str) -> Iterable[PendingStart]:
         """The pending starts on a machine."""
         return self._index.resting_on(("machine", machine))
 
@@ -265,34 +278,38 @@
             self.full_scan += sum(len(i.premises) for i in self.pending.values())
         for verdict in verdicts:
             if verdict.outcome >= Outcome.REPLAN:
-                self.withdraw(verdict.intent)
+                self.withdraw(verdict.pending_start)
         return verdicts
 
-    def release(self, intent: Intent, evidence: Evidence) -> Verdict:
+    def release(self, pending_start: PendingStart, evidence: Evidence) -> Verdict:
         """The check before the effect: everything whose version differs from the one read."""
         differs = {
-            resource for resource, seen in intent.read.items() if evidence.version(resource) != seen
+            resource
+            for resource, seen in pending_start.read.items()
+            if evidence.version(resource) != seen
         }
-        self.full_scan += len(intent.premises)
-        verdict = self._judge(intent, differs, evidence)
+        self.full_scan += len(pending_start.premises)
+        verdict = self._judge(pending_start, differs, evidence)
         if verdict.outcome >= Outcome.REPLAN:
-            self.withdraw(intent)
+            self.withdraw(pending_start)
         return verdict
 
-    def _judge(self, intent: Intent, through: set[Resource], evidence: Evidence) -> Verdict:
+    def _judge(
+        self, pending_start: PendingStart, through: set[Resource], evidence: Evidence
+    ) -> Verdict:
         worst, reason = Outcome.KEEP, ""
-        for premise in intent.premises:
+        for premise in pending_start.premises:
             if premise.resource not in through:
                 continue
             self.checked += 1
             try:
-                holds = CHECKS[premise.kind](intent, evidence, premise.resource)
+                holds = CHECKS[premise.kind](pending_start, evidence, premise.resource)
                 outcome = Outcome.KEEP if holds else premise.severity
-            except Unverifiable:
+            except UnverifiablePremiseError:
                 outcome = Outcome.BLOCK  # what cannot be checked is not let through
             if outcome > worst:
                 worst, reason = outcome, premise.kind
         for resource in through:
-            intent.read[resource] = evidence.version(resource)
+            pending_start.read[resource] = evidence.version(resource)
         self.verdicts[worst.name.lower()] += 1
-        return Verdict(intent, worst, reason)
+        return Verdict(pending_start, worst, reason)
--- a/src/sandladder/scheduling/reservation.py
+++ b/src/sandladder/scheduling/reservation.py
@@ -14,8 +14,8 @@
 
 from sandladder.model.jobs import GANG, HIGH, SERVICE, Job, JobSpec
 from sandladder.model.machines import MachineType
-from sandladder.scheduling.cluster_view import AGED_LEASES, Picture, allowed
-from sandladder.scheduling.premises import Room
+from sandladder.scheduling.cluster_view import AGED_LEASES, ClusterView, allowed
+from sandladder.scheduling.premises import FreeCapacity
 
 
 class _Place(NamedTuple):
@@ -38,9 +38,9 @@
 class Reservation:
     """The jobs for which machines are held, and which machines."""
 
-    def __init__(self, picture: Picture) -> None:
-        self._picture = picture
-        workers = picture.settings.platform.deployment.workers
+    def __init__(self, cluster_view: ClusterView) -> None:
+        self._picture = cluster_view
+        workers = cluster_view.settings.platform.deployment.workers
         self._aged_s = AGED_LEASES * workers.lease_s
         self._again_s = workers.report_s
         self._holds: dict[str, _Hold] = {}
@@ -79,7 +79,7 @@
 
     def _takes_most(self, spec: JobSpec) -> bool:
         """Whether two of its tasks fit no machine together."""
-        types = [kind for kind in self._picture.mirror.types.values() if kind.fits(spec)]
+        types = [kind for kind in self._picture.cache.types.values() if kind.fits(spec)]
         return bool(types) and all(_number(spec, kind, kind.cpus) < 2 for kind in types)
 
     def review(self, jobs: list[Job]) -> None:
@@ -120,17 +120,17 @@
         return True
 
     def _places(self, spec: JobSpec) -> list[_Place]:
-        picture = self._picture
+        cluster_view = self._picture
         found = []
-        for machine in picture.machines():
-            room = picture.room(machine)
-            if room is None or not room.usable or not allowed(spec, room):
+        for machine in cluster_view.machines():
+            capacity = cluster_view.capacity(machine)
+            if capacity is None or not capacity.usable or not allowed(spec, capacity):
                 continue
-            kind = picture.mirror.types[room.type]
-            tasks = _number(spec, kind, kind.cpus - picture.services(machine))
+            kind = cluster_view.cache.types[capacity.type]
+            tasks = _number(spec, kind, kind.cpus - cluster_view.services(machine))
             if tasks > 0:
-                free = min(tasks, _free(spec, room))
-                found.append(_Place(1 - free / tasks, machine, room.zone, tasks))
+                free = min(tasks, _free(spec, capacity))
+                found.append(_Place(1 - free / tasks, machine, capacity.zone, tasks))
         return found
 
     @staticmethod
@@ -159,8 +159,8 @@
     return int(number + 1e-6)
 
 
-def _free(spec: JobSpec, room: Room) -> int:
-    number = min(room.cpus / spec.cpus, room.memory_gb / max(spec.memory_gb, 1e-9))
+def _free(spec: JobSpec, capacity: FreeCapacity) -> int:
+    number = min(capacity.cpus / spec.cpus, capacity.memory_gb / max(spec.memory_gb, 1e-9))
     if spec.gpus > 0:
-        number = min(number, room.gpus / spec.gpus)
+        number = min(number, capacity.gpus / spec.gpus)
     return max(0, int(number + 1e-6))
--- a/src/sandladder/state/cache.py
+++ b/src/sandladder/state/cache.py
@@ -7,36 +7,36 @@
 
 import msgspec
 
-from sandladder.model.dependencies import Pipelines
-from sandladder.model.jobs import CANCELLED, Attempt, Final, Job
-from sandladder.model.machines import Machine, MachineType, Summary
-from sandladder.model.membership import Member, Placer
+from sandladder.model.dependencies import DependencyIndex
+from sandladder.model.jobs import CANCELLED, Attempt, FinishedJob, Job
+from sandladder.model.machines import Machine, MachineInventory, MachineType
+from sandladder.model.membership import Member, TeamAssignment
 from sandladder.model.quota import TeamUsage
-from sandladder.model.schema import PLAIN
+from sandladder.model.schema import SCHEMA_V1
 from sandladder.state.records import (
     EXTRA,
     FINAL,
-    FLEET,
-    FORM_KEY,
+    INSTANCE,
     JOB,
     MARKS,
     NODE,
     RENTER,
     ROSTER,
+    SCHEMA_VERSION_KEY,
     TEAM,
     TERM,
     TYPES,
-    UnknownForm,
+    UnknownSchemaVersionError,
     extra_key,
-    is_folded,
+    is_split,
+    join_value,
     load_job,
-    read_final,
-    read_fleet,
-    read_form,
+    read_finished_job,
+    read_instances,
+    read_schema_version,
     read_team,
     split_extra,
-    unfold,
-    unpack_summary,
+    unpack_inventory,
 )
 
 log = logging.getLogger(__name__)
@@ -44,23 +44,23 @@
 FINALS_KEPT = 4096
 
 
-class Mirror:
+class StateCache:
     """A controller's copy of the records, kept up by the watch and by its own commits."""
 
     def __init__(self) -> None:
         self.revision = 0
-        self.form = PLAIN  # of the records
+        self.schema_version = SCHEMA_V1  # of the records
         self.marks: dict[str, int] = {}  # by controller, the form that it said it understands
         self.jobs: dict[str, Job] = {}
-        self.pipelines = Pipelines(self.jobs)
+        self.dependency_index = DependencyIndex(self.jobs)
         self.teams: dict[str, TeamUsage] = {}  # as the first form keeps it
-        self.placers: dict[str, Placer] = {}  # in the second form
+        self.assignments: dict[str, TeamAssignment] = {}  # in the second form
         self.roster: dict[str, Member] = {}
         self.used: dict[str, TeamUsage] = {}  # what the live attempts of each team hold
-        self.nodes: dict[str, Summary] = {}
-        self.fleet: dict[str, Machine] = {}
+        self.nodes: dict[str, MachineInventory] = {}
+        self.instances: dict[str, Machine] = {}
         self.chunks: dict[int, list[str]] = {}  # the machines of each fleet record
-        self.renter: str | None = None
+        self.autoscaler_node: str | None = None
         self.term = 0
         self.types: dict[str, MachineType] = {}
         # Where order may matter sets are kept as dictionaries: the order of a set hangs on the
@@ -69,8 +69,10 @@
         # How many attempts each session of a machine holds.
         self.sessions: dict[str, dict[int, int]] = {}
         self.versions: dict[str, int] = {}
-        self.finals: OrderedDict[str, Final] = OrderedDict()
-        self.unfiled: dict[str, Final] = {}  # finished jobs whose record is in the job's place
+        self.finished_jobs: OrderedDict[str, FinishedJob] = OrderedDict()
+        self.unarchived: dict[
+            str, FinishedJob
+        ] = {}  # finished jobs whose record is in the job's place
         # Records that make no sense to us: what rests on them is not done.
         self.unreadable: set[str] = set()
         # Live jobs that are cancelled, and those of which a peer has said so since we last read
@@ -79,8 +81,8 @@
         self._told: dict[str, float] = {}
         # Machines whose committed starts changed, and tasks that were started or done, since
         # somebody last asked.
-        self.touched: dict[str, None] = {}
-        self.begun: dict[tuple[str, int], None] = {}
+        self.changed_machines: dict[str, None] = {}
+        self.started_tasks: dict[tuple[str, int], None] = {}
         self._parts: dict[str, dict[int, Any]] = {}  # values of the nodes' summaries
         # The parts of folded records, as (value, version), and which of these to read again.
         self._heads: dict[str, tuple[Any, int]] = {}
@@ -106,7 +108,7 @@
                 changed[key] = None
         # Read page by page: what does not fit together is put right by the changes that
         # follow, before anyone acts on it.
-        changed |= self._unfold()
+        changed |= self._join()
         self._advance(max(revision, self.revision))
         return changed
 
@@ -118,7 +120,7 @@
                 continue
             self._set(key, value, 0 if value is None else version)
             changed[key] = None
-        changed |= self._unfold()
+        changed |= self._join()
         for key in [key for key in self._refold if key not in self.unreadable]:
             self._cannot_read(key, "its parts are not of one writing")
         self._advance(max(revision, self.revision))
@@ -134,7 +136,7 @@
                 self._ahead[key] = revision
             self._set(key, value, 0 if value is None else revision)
             changed[key] = None
-        return changed | self._unfold()
+        return changed | self._join()
 
     def _advance(self, revision: int) -> None:
         self.revision = revision
@@ -146,7 +148,7 @@
             # Finished jobs never change; only the latest are kept, others are read again.
             if value is not None:
                 try:
-                    self.remember(key[len(FINAL) :], read_final(value, version))
+                    self.remember(key[len(FINAL) :], read_finished_job(value, version))
                 except Exception as error:
                     log.error("the record %s cannot be read: %s", key, error)
             return
@@ -156,7 +158,7 @@
             self.versions[key] = version
         if key.startswith(EXTRA):
             self._set_extra(key, value, version)
-        elif is_folded(value):
+        elif is_split(value):
             self._heads[key] = value, version
             self._refold[key] = None
         else:
@@ -180,12 +182,12 @@
         """The keys of a record's further parts, as they stand."""
         return [extra_key(key, index) for index in self._extras.get(key, ())]
 
-    def _unfold(self) -> dict[str, None]:
+    def _join(self) -> dict[str, None]:
         """Read the folded records whose parts changed; those that are whole."""
         found: dict[str, None] = {}
         for key in list(self._refold):
             try:
-                value = unfold(self._heads[key], self._extras.get(key, {}))
+                value = join_value(self._heads[key], self._extras.get(key, {}))
             except Exception as error:
                 self._cannot_read(key, repr(error))
                 continue
@@ -199,7 +201,7 @@
         """Take in a record; one that makes no sense ends nothing but what rests on it."""
         try:
             self._read(key, value)
-        except UnknownForm:
+        except UnknownSchemaVersionError:
             raise
         except Exception as error:
             self._cannot_read(key, repr(error))
@@ -212,72 +214,74 @@
 
     def _read(self, key: str, value: Any) -> None:
         name = key.rpartition("/")[2]
-        if key == FORM_KEY:
-            self.form = PLAIN if value is None else read_form(value)
+        if key == SCHEMA_VERSION_KEY:
+            self.schema_version = SCHEMA_V1 if value is None else read_schema_version(value)
         elif key.startswith(JOB):
             # A list in a job's place says what it came to, until there is time to file it.
             over = isinstance(value, list)
-            final = read_final(value, self.version(key), filed=False) if over else None
+            final = read_finished_job(value, self.version(key), filed=False) if over else None
             self._set_job(name, None if over else value)
-            self.unfiled.pop(name, None)
+            self.unarchived.pop(name, None)
             if final is not None:
-                self.unfiled[name] = final
+                self.unarchived[name] = final
                 self.remember(name, final)
         elif key.startswith(TEAM):
             self._set_team(name, value)
         elif key.startswith(NODE):
             node, _, part = key[len(NODE) :].partition("/")
             self._set_part(node, int(part or 0), value)
-        elif key.startswith(FLEET):
-            found = {} if value is None else read_fleet(value)
+        elif key.startswith(INSTANCE):
+            found = {} if value is None else read_instances(value)
             for machine in self.chunks.pop(int(name), ()):
-                del self.fleet[machine]
+                del self.instances[machine]
             if value is not None:
-                self.fleet.update(found)
+                self.instances.update(found)
                 self.chunks[int(name)] = list(found)
         elif key == MARKS:
-            self.marks = {str(node): int(form) for node, form in (value or {}).items()}
+            self.marks = {
+                str(node): int(schema_version) for node, schema_version in (value or {}).items()
+            }
         elif key == ROSTER:
             self.roster = msgspec.convert(value or {}, dict[str, Member])
         elif key == TERM:
             self.term = int(value or 0)
         elif key == RENTER:
-            self.renter = value
+            self.autoscaler_node = value
         elif key == TYPES:
             self.types = msgspec.convert(value or {}, dict[str, MachineType], strict=False)
 
     def _set_team(self, name: str, value: Any) -> None:
         found = TeamUsage() if value is None else read_team(value)
         self.teams.pop(name, None)
-        self.placers.pop(name, None)
-        if isinstance(found, Placer):
-            self.placers[name] = found
+        self.assignments.pop(name, None)
+        if isinstance(found, TeamAssignment):
+            self.assignments[name] = found
         elif value is not None:
             self.teams[name] = found
 
     @property
-    def opaque(self) -> set[str]:
+    def unreadable_nodes(self) -> set[str]:
         """Controllers that have a summary which we could never read."""
         heads = {node for node, parts in self._parts.items() if 0 in parts}
         heads |= {key[len(NODE) :] for key in self._heads if key.startswith(NODE)}
         return heads - self.nodes.keys()
 
-    def starts_barred(self, team: str) -> bool:
+    def starts_blocked(self, team: str) -> bool:
         """Whether it cannot be told what the team holds, so that nothing of it may start."""
         jobs = (key[len(JOB) :] for key in self.unreadable if key.startswith(JOB))
         known = (self.jobs.get(job_id) for job_id in jobs)
         return any(job is None or job.spec.team == team for job in known)
 
-    def final(self, job_id: str) -> Final | None:
+    def final(self, job_id: str) -> FinishedJob | None:
         """What a job came to, as far as it is in memory."""
-        return self.unfiled.get(job_id) or self.finals.get(job_id)
+        return self.unarchived.get(job_id) or self.finished_jobs.get(job_id)
 
-    def remember(self, job_id: str, final: Final) -> None:
+    def remember(self, job_id: str, final: FinishedJob) -> None:
         """Keep what a finished job came to, among the latest such."""
-        self.pipelines.settle(job_id, final)
-        self.finals[job_id] = final
-        if len(self.finals) > FINALS_KEPT:
-            self.finals.popitem(last=False)
+        self.dependency_index.settle(job_id, final)
+        self.finished_jobs[job_id] = final
+        if len(self.finished_jobs) > FINALS_KEPT:
+            self.finished_jobs.popitem(last=False)
 
     def cancels(self, job_id: str) -> bool:
         """Whether a job is surely cancelled, so that what runs of it is to be stopped."""
@@ -310,9 +314,9 @@
         number = number if isinstance(number, int) else 1
         # Parts arrive one after the other; until the last the former summary stands.
         if all(i in parts for i in range(number)):
-            summary = unpack_summary([parts[i] for i in range(number)])
-            if summary is not None:
-                self.nodes[node] = summary
+            inventory = unpack_inventory([parts[i] for i in range(number)])
+            if inventory is not None:
+                self.nodes[node] = inventory
 
     def _set_job(self, job_id: str, value: Any) -> None:
         old = self.jobs.get(job_id)
@@ -326,7 +330,7 @@
             self.jobs[job_id] = job
             after = job.live
             if old is not None and job.cancelled != old.cancelled:
-                self.touched |= {attempt.machine: None for attempt in after.values()}
+                self.changed_machines |= {attempt.machine: None for attempt in after.values()}
         self.cancelled.pop(job_id, None)
         if job is not None and job.cancelled:
             self.cancelled[job_id] = None
@@ -334,7 +338,7 @@
         for task, attempt in before.items():
             if after.get(task) == attempt:
                 continue
-            self.touched[attempt.machine] = None
+            self.changed_machines[attempt.machine] = None
             tasks = self.on_machine[attempt.machine]
             tasks.pop((job_id, task), None)
             if not tasks:
@@ -343,8 +347,8 @@
         for task, attempt in after.items():
             if before.get(task) == attempt:
                 continue
-            self.touched[attempt.machine] = None
-            self.begun[job_id, task] = None
+            self.changed_machines[attempt.machine] = None
+            self.started_tasks[job_id, task] = None
             self.on_machine.setdefault(attempt.machine, {})[job_id, task] = None
             self._count(attempt, 1)
 
@@ -366,12 +370,12 @@
         if some is not None and held:
             team = self.used.get(some.spec.team, TeamUsage())
             self.used[some.spec.team] = team.plus(some.spec, held)
-        self.pipelines.changed(job_id, old, new)
+        self.dependency_index.changed(job_id, old, new)
         if new is not None:
-            for name in new.awaits:
+            for name in new.dependencies:
                 final = self.final(name)
                 if final is not None:
-                    self.pipelines.settle(name, final)
+                    self.dependency_index.settle(name, final)
 
     def attempts_on(self, machine: str) -> Iterator[tuple[Job, int, Attempt]]:
         """The committed starts on a machine whose end is not proved."""
--- a/src/sandladder/state/records.py
+++ b/src/sandladder/state/records.py
@@ -10,14 +10,14 @@
 
 import msgspec
 
-from sandladder.model.jobs import ARRAY, CANCELLED, DONE, Attempt, Final, Job, JobSpec, Ranges
-from sandladder.model.machines import Machine, Seen, Summary
-from sandladder.model.membership import Placer
+from sandladder.model.jobs import ARRAY, CANCELLED, DONE, Attempt, FinishedJob, Job, JobSpec, Ranges
+from sandladder.model.machines import Machine, MachineInventory, MachineStatus
+from sandladder.model.membership import TeamAssignment
 from sandladder.model.quota import TeamUsage
-from sandladder.model.schema import FORM, PLAIN
+from sandladder.model.schema import SCHEMA_V1, SCHEMA_V2
 
 ROOT = "s/"
-JOB, FINAL, TEAM, NODE, FLEET = "s/j/", "s/f/", "s/t/", "s/p/", "s/v/"
+JOB, FINAL, TEAM, NODE, INSTANCE = "s/j/", "s/f/", "s/t/", "s/p/", "s/v/"
 TERM, RENTER, TYPES = "s/term", "s/renter", "s/types"
 # What each controller said it understands; and what a record that is longer than the store's
 # values holds beyond its first part.
@@ -27,36 +27,38 @@
 MEMBERS = "s/m/"
 ROSTER = MEMBERS + "roster"
 # What a controller reads at its start: all but the finished jobs.
-PREFIXES = (JOB, NODE, "s/r", "s/t", FLEET, MARK, EXTRA, MEMBERS)
-FORM_KEY = JOB + "form"
+PREFIXES = (JOB, NODE, "s/r", "s/t", INSTANCE, MARK, EXTRA, MEMBERS)
+SCHEMA_VERSION_KEY = JOB + "form"
 
 
-class UnknownForm(Exception):
+class UnknownSchemaVersionError(Exception):
     """The records are of a form that this version does not understand."""
 
 
-def form_value(form: int) -> dict[str, Any]:
+def schema_version_value(schema_version: int) -> dict[str, Any]:
     """The mark of the records' form.
 
     A controller of the version before takes it for a job.  It cannot read the time, says so
     with its text, and does not get past it: it would do harm with records that it half
     understands.  As it passes over a key that it failed on once, the mark is written again
-    while such a controller is heard (`upgrade.Upgrade`), and summaries stop it as well.
+    while such a controller is heard (`upgrade.SchemaMigration`), and summaries stop it as well.
     This can go once no store is left that such a version may meet.
     """
     spec = ["form", "", "", ARRAY, 0, 1, 1.0, 0.0, 0.0, "", 0.0]
     spec += [None, None, False, False, False, 0.0, 0.0, 0.0, None]
-    return {"s": spec, "t": _STOP, "n": 1, "form": form}
+    return {"s": spec, "t": _STOP, "n": 1, "form": schema_version}
 
 
 _STOP = "these records need sandladder 0.2 or later"
 
 
-def read_form(value: Any) -> int:
-    form = value.get("form") if isinstance(value, dict) else None
-    if not isinstance(form, int) or not PLAIN < form <= FORM:
-        raise UnknownForm(f"the records are of the form {form!r}, this version knows {FORM}")
-    return form
+def read_schema_version(value: Any) -> int:
+    schema_version = value.get("form") if isinstance(value, dict) else None
+    if not isinstance(schema_version, int) or not SCHEMA_V1 < schema_version <= SCHEMA_V2:
+        raise UnknownSchemaVersionError(
+            f"the records are of the form {schema_version!r}, this version knows {SCHEMA_V2}"
+        )
+    return schema_version
 
 
 # Folding: a value that is too long for the store becomes several that are not.
@@ -65,7 +67,7 @@
 _UNFOLDED_MOST = 4 << 20
 
 
-def fold(value: Any, most_bytes: float) -> list[Any]:
+def split_value(value: Any, most_bytes: float) -> list[Any]:
     """The values that a record is written as, the first under its own key.
 
     They belong together when one transaction wrote them all.
@@ -103,11 +105,11 @@
 _MOST_EXTRAS = 999
 
 
-def is_folded(value: Any) -> bool:
+def is_split(value: Any) -> bool:
     return isinstance(value, dict) and _FOLDED in value
 
 
-def unfold(head: tuple[Any, int], extras: dict[int, tuple[Any, int]]) -> Any:
+def join_value(head: tuple[Any, int], extras: dict[int, tuple[Any, int]]) -> Any:
     """The record of these (value, version) parts; None when they are not of one writing."""
     value, version = head
     texts = [value[_FOLDED]]
@@ -187,8 +189,8 @@
     if job.errors:
         value["e"] = job.errors
     # Only in records of the second form: the version before would lose these.
-    if job.awaits:
-        value["a"] = list(job.awaits)
+    if job.dependencies:
+        value["a"] = list(job.dependencies)
     if job.ready is not None:
         value["w"] = round(job.ready, 3)
     return value
@@ -210,38 +212,38 @@
                     job.live[task] = item
     job.cancelled = bool(value.get("c"))
     job.errors = int(value.get("e") or 0)
-    job.awaits = tuple(value.get("a") or ())
-    if not all(isinstance(name, str) for name in job.awaits):
+    job.dependencies = tuple(value.get("a") or ())
+    if not all(isinstance(name, str) for name in job.dependencies):
         raise ValueError("the jobs that it awaits are not named")
     job.ready = None if value.get("w") is None else float(value["w"])
     return job
 
 
-def final_value(final: Final, form: int) -> list[Any]:
+def finished_job_value(final: FinishedJob, schema_version: int) -> list[Any]:
     """What is kept of a finished job; the time only where no reader counts the elements."""
     kept: list[Any] = [final.state, final.done]
-    if form > PLAIN and final.at is not None:
+    if schema_version > SCHEMA_V1 and final.at is not None:
         kept.append(round(final.at, 3))
     return kept
 
 
-def read_final(value: Any, version: int = 0, *, filed: bool = True) -> Final:
+def read_finished_job(value: Any, version: int = 0, *, filed: bool = True) -> FinishedJob:
     """What is kept of a finished job; in the second form it may stand in the job's own place."""
     state, done, *more = value
     if state not in (DONE, CANCELLED):
         raise ValueError(f"a finished job is not {state!r}")
-    return Final(state, int(done), float(more[0]) if more else None, version, filed)
+    return FinishedJob(state, int(done), float(more[0]) if more else None, version, filed)
 
 
-def placer_value(placer: Placer) -> dict[str, Any]:
+def assignment_value(assignment: TeamAssignment) -> dict[str, Any]:
     """A team's record in the second form: who places; what the team holds, its jobs tell."""
-    return {"p": placer.node, "n": placer.term}
+    return {"p": assignment.node, "n": assignment.term}
 
 
-def read_team(value: Any) -> TeamUsage | Placer:
+def read_team(value: Any) -> TeamUsage | TeamAssignment:
     """A team's record: what it holds, or who places its jobs."""
     if isinstance(value, dict):
-        return Placer(str(value["p"]), int(value["n"]))
+        return TeamAssignment(str(value["p"]), int(value["n"]))
     return TeamUsage(*(float(amount) for amount in value))
 
 
@@ -256,7 +258,14 @@
     odd: dict[int, tuple[int, float | None, int]] = {}
 
 
-_HEAD = {"term": "n", "up_s": "u", "revision": "r", "parts": "p", "form": "w", "process": "o"}
+_HEAD = {
+    "term": "n",
+    "up_s": "u",
+    "revision": "r",
+    "parts": "p",
+    "schema_version": "w",
+    "process": "o",
+}
 
 
 class _Head(_Part, rename=_HEAD):
@@ -266,11 +275,11 @@
     up_s: float = 0.0
     revision: int = 0
     parts: int = 1
-    form: int = PLAIN  # the version before says nothing of it
+    schema_version: int = SCHEMA_V1  # the version before says nothing of it
     process: int = 0
 
 
-def _pack(part: _Part, machines: list[tuple[str, Seen]], images: int) -> None:
+def _pack(part: _Part, machines: list[tuple[str, MachineStatus]], images: int) -> None:
     kinds: dict[tuple[str, str, bool], int] = {}
     names: dict[str, int] = {}
     for index, (machine, seen) in enumerate(machines):
@@ -285,13 +294,13 @@
     part.kinds, part.images = list(kinds), list(names)
 
 
-def pack_summary(summary: Summary, value_bytes: float) -> list[dict[str, Any]]:
+def pack_inventory(inventory: MachineInventory, value_bytes: float) -> list[dict[str, Any]]:
     """The summary's values, each within the store's limit.
 
     Names of images are hints and go first when it gets tight; then the machines are split
     over several values, which are written together.
     """
-    machines = sorted(summary.machines.items())
+    machines = sorted(inventory.machines.items())
     for number in range(1, len(machines) + 2):
         size = -(-len(machines) // number) if machines else 0
         for images in (4, 2, 1, 0) if number == 1 else (1, 0):
@@ -299,25 +308,25 @@
             for index in range(number):
                 part = _Part()
                 if not index:
-                    part = _Head([], [], [], {}, *summary[:3], number, *summary[4:])
+                    part = _Head([], [], [], {}, *inventory[:3], number, *inventory[4:])
                 _pack(part, machines[index * size : (index + 1) * size], images)
                 value = msgspec.to_builtins(part, str_keys=True)
                 if index:
-                    value["r"] = summary.revision  # parts of one writing belong together
+                    value["r"] = inventory.revision  # parts of one writing belong together
                 values.append(value)
             if all(len(msgspec.json.encode(value)) <= value_bytes for value in values):
                 return values
     return values
 
 
-def fold_summary(summary: Summary, value_bytes: float) -> list[Any]:
+def fold_inventory(inventory: MachineInventory, value_bytes: float) -> list[Any]:
     """The summary's values in the second form: as few as they can be, then names of images."""
-    machines = sorted(summary.machines.items())
+    machines = sorted(inventory.machines.items())
     best: list[Any] = []
     for images in (0, 1, 2, 4):
-        head = _Head([], [], [], {}, *summary[:3], 1, *summary[4:])
+        head = _Head([], [], [], {}, *inventory[:3], 1, *inventory[4:])
         _pack(head, machines, images)
-        values = fold(msgspec.to_builtins(head, str_keys=True), value_bytes - len(_STOP))
+        values = split_value(msgspec.to_builtins(head, str_keys=True), value_bytes - len(_STOP))
         # The version before reads the number of parts here, and ends its reading.
         values[0]["p"] = _STOP
         if best and len(values) > len(best):
@@ -326,21 +335,21 @@
     return best
 
 
-def unpack_summary(values: list[dict[str, Any]]) -> Summary | None:
+def unpack_inventory(values: list[dict[str, Any]]) -> MachineInventory | None:
     """A summary from its values, or None when they are not of one writing."""
     if isinstance(values[0].get("p"), str):
         values = [values[0] | {"p": 1}]
     head = msgspec.convert(values[0], _Head, strict=False)
     if head.parts != len(values):
         return None
-    machines: dict[str, Seen] = {}
+    machines: dict[str, MachineStatus] = {}
     for index, value in enumerate(values):
         if value.get("r") != head.revision:
             return None
         part = head if index == 0 else msgspec.convert(value, _Part, strict=False)
         for place, (name, kind, age, *images) in enumerate(part.rows):
             session, notice_s, errors = part.odd.get(place, (1, None, 0))
-            machines[long_name(name)] = Seen(
+            machines[long_name(name)] = MachineStatus(
                 *part.kinds[int(kind)],
                 session,
                 int(age) / 10,
@@ -348,15 +357,17 @@
                 errors,
                 tuple(part.images[int(image)] for image in images),
             )
-    return Summary(head.term, head.up_s, head.revision, machines, head.form, head.process)
+    return MachineInventory(
+        head.term, head.up_s, head.revision, machines, head.schema_version, head.process
+    )
 
 
 _FLEET_STATES = ("rented", "draining", "gone")
 # What a machine takes in a fleet record: its name, kind, state and time of day.
-FLEET_ITEM_BYTES = 32
+INSTANCE_RECORD_BYTES = 32
 
 
-def fleet_value(fleet: dict[str, Machine]) -> dict[str, Any]:
+def instances_value(instances: dict[str, Machine]) -> dict[str, Any]:
     """The record of some machines, with a table of what many have in common."""
     kinds: dict[tuple[str, str, bool], int] = {}
     rows = [
@@ -366,12 +377,12 @@
             _FLEET_STATES.index(m.state),
             round(m.since),
         ]
-        for name, m in sorted(fleet.items())
+        for name, m in sorted(instances.items())
     ]
     return {"k": [list(kind) for kind in kinds], "m": rows}
 
 
-def read_fleet(value: dict[str, Any]) -> dict[str, Machine]:
+def read_instances(value: dict[str, Any]) -> dict[str, Machine]:
     """Machines from their record."""
     found = {}
     for name, place, state, since in value["m"]:
--- a/src/sandladder/state/schema_migration.py
+++ b/src/sandladder/state/schema_migration.py
@@ -13,25 +13,25 @@
 import anyio
 import msgspec
 
-from sandladder.model.schema import FORM, PLAIN
+from sandladder.model.schema import SCHEMA_V1, SCHEMA_V2
 from sandladder.protocol import wire
-from sandladder.state.cache import Mirror
-from sandladder.state.errors import Refused, Rejected
-from sandladder.state.group_commit import P_IDLE, P_USER, Change
+from sandladder.state.cache import StateCache
+from sandladder.state.errors import ConflictError, PreconditionFailedError
+from sandladder.state.group_commit import P_IDLE, P_USER, PendingChange
 from sandladder.state.records import (
-    FLEET,
-    FORM_KEY,
+    INSTANCE,
     JOB,
     MARKS,
     NODE,
+    SCHEMA_VERSION_KEY,
     TERM,
     TYPES,
-    fleet_value,
-    form_value,
+    instances_value,
     job_value,
+    schema_version_value,
 )
-from sandladder.state.store_client import StateClient
-from sandladder.state.transaction import View
+from sandladder.state.store_client import StoreClient
+from sandladder.state.transaction import Transaction
 
 if TYPE_CHECKING:
     from sandladder.controller.controller import Controller
@@ -39,7 +39,7 @@
 log = logging.getLogger(__name__)
 
 
-class Upgrade:
+class SchemaMigration:
     """Says what this controller understands, and raises the form when all do."""
 
     def __init__(self, controller: "Controller") -> None:
@@ -49,17 +49,21 @@
         """Raise the form, shorten what is too long for the limits to come, and rest."""
         c = self._c
         raised_here = False
-        while not c.watch.loaded or c.mirror.form < FORM:
+        while not c.watch.loaded or c.cache.schema_version < SCHEMA_V2:
             await anyio.sleep(c.report_s / 4)
-            if not c.watch.loaded or not c.hold.alive() or c.mirror.form >= FORM:
+            if (
+                not c.watch.loaded
+                or not c.controller_lease.alive()
+                or c.cache.schema_version >= SCHEMA_V2
+            ):
                 continue
             raised_here = True
             try:
                 await self._step()
-            except Refused as refusal:
+            except PreconditionFailedError as refusal:
                 log.debug("the records stay in the plain form: %s", refusal)
         if raised_here:
-            log.info("the records are of the form %d now", c.mirror.form)
+            log.info("the records are of the form %d now", c.cache.schema_version)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._shorten)
             tasks.start_soon(self._bar)
@@ -71,35 +75,47 @@
         before unless that is written anew.
         """
         c = self._c
-        barred: set[str] = set()
+        backing_off: set[str] = set()
         while True:
             await anyio.sleep(c.report_s / 5)
             old = c.peers.older()
-            if old - barred:
+            if old - backing_off:
                 log.error("%s run a version that does not know these records", sorted(old))
-            barred = old
+            backing_off = old
             # One of those that hear it is enough.
-            if old and c.hold.alive() and c.node == min(set(c.peers.live_nodes()) - old):
-                with contextlib.suppress(Refused):
+            if (
+                old
+                and c.controller_lease.alive()
+                and c.node == min(set(c.peers.live_nodes()) - old)
+            ):
+                with contextlib.suppress(PreconditionFailedError):
                     await self._commit("form", again)
 
     async def _step(self) -> None:
-        mirror, node = self._c.mirror, self._c.node
-        if mirror.marks.get(node, PLAIN) < FORM:
-            await self._commit("mark of the form", partial(mark_form, node=node, form=FORM))
-        for name, summary in mirror.nodes.items():
-            if summary.form < FORM and mirror.marks.get(name, PLAIN) >= FORM:
+        cache, node = self._c.cache, self._c.node
+        if cache.marks.get(node, SCHEMA_V1) < SCHEMA_V2:
+            await self._commit(
+                "mark of the form",
+                partial(mark_schema_version, node=node, schema_version=SCHEMA_V2),
+            )
+        for name, inventory in cache.nodes.items():
+            if (
+                inventory.schema_version < SCHEMA_V2
+                and cache.marks.get(name, SCHEMA_V1) >= SCHEMA_V2
+            ):
                 log.warning("%s runs an older version again", name)
-                await self._commit("mark of the form", partial(mark_form, node=name, form=None))
-        if all(mirror.marks.get(name, PLAIN) >= FORM for name in self._c.nodes):
+                await self._commit(
+                    "mark of the form", partial(mark_schema_version, node=name, schema_version=None)
+                )
+        if all(cache.marks.get(name, SCHEMA_V1) >= SCHEMA_V2 for name in self._c.nodes):
             # Its proof rests on everything written until now.
             await self._c.watch.barrier()
-            await self._commit("form", partial(raise_form, nodes=self._c.nodes))
+            await self._commit("form", partial(raise_schema_version, nodes=self._c.nodes))
 
     async def _commit(
-        self, name: str, apply: Callable[[View], bool], priority: float = P_USER
+        self, name: str, apply: Callable[[Transaction], bool], priority: float = P_USER
     ) -> None:
-        await self._c.committer.add(Change(name, priority, 2, apply)).wait()
+        await self._c.committer.add(PendingChange(name, priority, 2, apply)).wait()
 
     async def _shorten(self) -> None:
         """Rewrite what is longer than the limits to come, while there is time."""
@@ -107,25 +123,29 @@
         most = c.limits.value_bytes
         keys = [
             JOB + job.id
-            for job in c.mirror.jobs.values()
+            for job in c.cache.jobs.values()
             if c.peers.places(job.spec.team) and _length(job_value(job)) > most
         ]
-        if c.mirror.renter == c.node:
+        if c.cache.autoscaler_node == c.node:
             keys += [
-                f"{FLEET}{chunk}"
-                for chunk, machines in c.mirror.chunks.items()
-                if _length(fleet_value({m: c.mirror.fleet[m] for m in machines})) > most
+                f"{INSTANCE}{chunk}"
+                for chunk, machines in c.cache.chunks.items()
+                if _length(instances_value({m: c.cache.instances[m] for m in machines})) > most
             ]
         for key in keys:
             try:
                 await self._commit(f"shorter {key}", partial(rewrite, key=key), P_IDLE)
-            except Refused as refusal:
+            except PreconditionFailedError as refusal:
                 log.debug("%s stays as it is: %s", key, refusal)
 
 
-def again(view: View) -> bool:
+def again(transaction: Transaction) -> bool:
     """Write the mark of the form anew."""
-    view.put(FORM_KEY, form_value(FORM), view.mirror.version(FORM_KEY))
+    transaction.put(
+        SCHEMA_VERSION_KEY,
+        schema_version_value(SCHEMA_V2),
+        transaction.cache.version(SCHEMA_VERSION_KEY),
+    )
     return True
 
 
@@ -133,7 +153,7 @@
     return len(msgspec.json.encode(value))
 
 
-async def retire(state: StateClient, node: str) -> str | None:
+async def retire(state: StoreClient, node: str) -> str | None:
     """Say for a controller that never comes back that it does not bar the second form.
 
     None when that is written; otherwise why it is not.  It must not live: its summary, which
@@ -144,34 +164,34 @@
     found = await state.get(MARKS)
     marks, version = found or ({}, 0)
     body = wire.commit_body(
-        [(NODE + node, 0), (MARKS, version)], [(MARKS, {**marks, node: FORM}, None)], []
+        [(NODE + node, 0), (MARKS, version)], [(MARKS, {**marks, node: SCHEMA_V2}, None)], []
     )
     try:
         await state.commit(body, 1)
-    except Rejected as rejection:
+    except ConflictError as rejection:
         return f"something changed meanwhile ({rejection}): try again"
     return None
 
 
-def fresh(mirror: Mirror) -> bool:
+def fresh(cache: StateCache) -> bool:
     """Whether nobody has ever written here: the first things written are term and types."""
-    return not mirror.version(TERM) and not mirror.version(TYPES) and not mirror.jobs
+    return not cache.version(TERM) and not cache.version(TYPES) and not cache.jobs
 
 
-def mark_form(view: View, node: str, form: int | None) -> bool:
+def mark_schema_version(transaction: Transaction, node: str, schema_version: int | None) -> bool:
     """Note which form of records a controller's program understands; None: not known any more."""
-    marks = dict(view.mirror.marks)
-    if form is None:
+    marks = dict(transaction.cache.marks)
+    if schema_version is None:
         marks.pop(node, None)
     else:
-        marks[node] = form
-    if marks == view.mirror.marks:
+        marks[node] = schema_version
+    if marks == transaction.cache.marks:
         return False
-    view.put(MARKS, marks, view.mirror.version(MARKS))
+    transaction.put(MARKS, marks, transaction.cache.version(MARKS))
     return True
 
 
-def raise_form(view: View, nodes: list[str]) -> bool:
+def raise_schema_version(transaction: Transaction, nodes: list[str]) -> bool:
     """Have records written in our form from now on: all controllers understand it.
 
     That is proved by what each of them wrote, never by silence: by its mark, and by its room
@@ -179,29 +199,29 @@
     unseen; and the term moves, so that one that has just read the records must read again
     before it can enter.
     """
-    mirror = view.mirror
-    if mirror.form >= FORM:
+    cache = transaction.cache
+    if cache.schema_version >= SCHEMA_V2:
         return False
     for node in nodes:
-        summary = mirror.nodes.get(node)
-        if mirror.marks.get(node, PLAIN) < FORM or node in mirror.opaque:
-            raise Refused(f"{node} is not known to understand the form")
-        if summary is not None and summary.form < FORM:
-            raise Refused(f"{node} runs an older version")
-        view.guards[NODE + node] = mirror.version(NODE + node)
-    view.guards[MARKS] = mirror.version(MARKS)
-    view.put(FORM_KEY, form_value(FORM), 0)
-    view.put(TERM, mirror.term + 1, mirror.version(TERM))
+        inventory = cache.nodes.get(node)
+        if cache.marks.get(node, SCHEMA_V1) < SCHEMA_V2 or node in cache.unreadable_nodes:
+            raise PreconditionFailedError(f"{node} is not known to understand the form")
+        if inventory is not None and inventory.schema_version < SCHEMA_V2:
+            raise PreconditionFailedError(f"{node} runs an older version")
+        transaction.expected_versions[NODE + node] = cache.version(NODE + node)
+    transaction.expected_versions[MARKS] = cache.version(MARKS)
+    transaction.put(SCHEMA_VERSION_KEY, schema_version_value(SCHEMA_V2), 0)
+    transaction.put(TERM, cache.term + 1, cache.version(TERM))
     return True
 
 
-def rewrite(view: View, key: str) -> bool:
+def rewrite(transaction: Transaction, key: str) -> bool:
     """Write a record again as it is, within the limits in force."""
     name = key.rpartition("/")[2]
     if key.startswith(JOB):
-        return view.job(name) is not None
-    if key.startswith(FLEET) and int(name) in view.mirror.chunks:
-        machines = {m: view.mirror.fleet[m] for m in view.mirror.chunks[int(name)]}
-        view.put(key, fleet_value(machines), view.mirror.version(key))
+        return transaction.job(name) is not None
+    if key.startswith(INSTANCE) and int(name) in transaction.cache.chunks:
+        machines = {m: transaction.cache.instances[m] for m in transaction.cache.chunks[int(name)]}
+        transaction.put(key, instances_value(machines), transaction.cache.version(key))
         return True
     return False
--- a/src/sandladder/state/store_client.py
+++ b/src/sandladder/state/store_client.py
@@ -5,13 +5,20 @@
 from sandladder import clock
 from sandladder.config.settings import State
 from sandladder.protocol import wire
-from sandladder.state.errors import Down, NoLease, Rejected, TooLarge, Unavailable, UnknownOutcome
+from sandladder.state.errors import (
+    ConflictError,
+    LeaseExpiredError,
+    StoreRequestError,
+    StoreUnavailableError,
+    TransactionTooLargeError,
+    UnknownOutcomeError,
+)
 from sandladder.state.records import ROOT
-from sandladder.state.token_bucket import Budget
+from sandladder.state.token_bucket import AdaptiveTokenBucket
 from sandladder.transport.http import HttpError, Requester, Response
 
 
-class StateClient:
+class StoreClient:
     """Requests to the state service."""
 
     def __init__(self, client: Requester, limits: State, timeout: float) -> None:
@@ -19,8 +26,8 @@
         self._timeout = timeout
         self.limits = limits
         least = limits.least()
-        self.writes = Budget(limits.write_rps, least.write_rps)
-        self.requests = Budget(limits.rps, least.rps)
+        self.writes = AdaptiveTokenBucket(limits.write_rps, least.write_rps)
+        self.requests = AdaptiveTokenBucket(limits.rps, least.rps)
         self.ok_at = float("-inf")  # when it last answered
 
     async def _request(self, method: str, target: str, body: bytes = b"") -> Response:
@@ -28,9 +35,9 @@
         answer = await self._client.request(method, target, body, timeout=self._timeout)
         if answer.status == 429:
             self.requests.refused(1)
-            raise Unavailable("over the rate limit")
+            raise StoreRequestError("over the rate limit")
         if answer.status >= 500:
-            raise Unavailable(f"status {answer.status}")
+            raise StoreRequestError(f"status {answer.status}")
         self.ok_at = clock.now()
         self.requests.allowed()
         return answer
@@ -39,7 +46,7 @@
         try:
             return await self._request("GET", target)
         except HttpError as error:
-            raise Unavailable(str(error)) from None
+            raise StoreRequestError(str(error)) from None
 
     async def get(self, key: str) -> tuple[Any, int] | None:
         """A key's value and version, or None."""
@@ -71,7 +78,7 @@
     @staticmethod
     def _ok(answer: Response) -> bytes:
         if answer.status != 200:
-            raise Unavailable(f"status {answer.status}")
+            raise StoreRequestError(f"status {answer.status}")
         return answer.body
 
     async def commit(self, body: bytes, changes: int) -> int:
@@ -81,32 +88,32 @@
         try:
             answer = await self._client.request("POST", wire.COMMIT, body, timeout=self._timeout)
         except HttpError as error:
-            raise UnknownOutcome(str(error)) from None
+            raise UnknownOutcomeError(str(error)) from None
         if answer.status == 429:
             self.writes.refused(changes)
-            raise Unavailable("over the rate limit")
+            raise StoreRequestError("over the rate limit")
         if answer.status == 503:
             self.writes.unspent(changes)
-            raise Down("status 503")
+            raise StoreUnavailableError("status 503")
         if answer.status >= 500:
-            raise UnknownOutcome(f"status {answer.status}")
+            raise UnknownOutcomeError(f"status {answer.status}")
         self.ok_at = clock.now()
         if answer.status == 409:
-            raise Rejected(wire.parse_failed(answer.body))
+            raise ConflictError(wire.parse_failed(answer.body))
         if answer.status == 400:
             text = wire.loads_map(answer.body).get("error")
             if text == "no such lease":
-                raise NoLease
-            raise TooLarge(f"the state service refused a transaction: {text}")
+                raise LeaseExpiredError
+            raise TransactionTooLargeError(f"the state service refused a transaction: {text}")
         self.writes.allowed()
         return wire.parse_revision(self._ok(answer))
 
-    async def hold(self, ttl_s: float) -> int:
+    async def grant_lease(self, ttl_s: float) -> int:
         """A new lease."""
         try:
             answer = await self._request("POST", wire.HOLDS, wire.lease_body(ttl_s))
         except HttpError as error:
-            raise Unavailable(str(error)) from None
+            raise StoreRequestError(str(error)) from None
         return wire.parse_lease(self._ok(answer))
 
     async def renew(self, lease: int) -> None:
@@ -114,13 +121,13 @@
         try:
             answer = await self._request("POST", f"{wire.HOLDS}/{lease}/renew")
         except HttpError as error:
-            raise Unavailable(str(error)) from None
+            raise StoreRequestError(str(error)) from None
         if answer.status == 404:
-            raise NoLease
+            raise LeaseExpiredError
         self._ok(answer)
 
 
-class Renewal(NamedTuple):
+class LeaseRenewal(NamedTuple):
     """A lease and until when it surely lasts."""
 
     lease: int
--- a/src/sandladder/state/store_limits.py
+++ b/src/sandladder/state/store_limits.py
@@ -6,8 +6,8 @@
 """
 
 from sandladder.config.settings import LEAST_TXN_OPS, State
-from sandladder.model.schema import PLAIN
-from sandladder.state.cache import Mirror
+from sandladder.model.schema import SCHEMA_V1
+from sandladder.state.cache import StateCache
 
 # Room for the key and the braces around a value.
 _VALUE_SHARE = 0.95
@@ -23,19 +23,19 @@
 _LEAST_VALUE_BYTES = 256.0
 
 
-class Limits:
+class StoreLimits:
     """The limits in force, as far as we can tell."""
 
-    def __init__(self, state: State, mirror: Mirror) -> None:
+    def __init__(self, state: State, cache: StateCache) -> None:
         self.today = state
         self.least = state.least()
-        self._mirror = mirror
+        self._mirror = cache
         self._txn_ops = float("inf")
         self._value_bytes = float("inf")
 
     @property
     def _base(self) -> State:
-        return self.today if self._mirror.form == PLAIN else self.least
+        return self.today if self._mirror.schema_version == SCHEMA_V1 else self.least
 
     @property
     def txn_ops(self) -> int:
@@ -54,17 +54,21 @@
     @property
     def parts(self) -> int:
         """How many values a job's record may take: its end needs one change more."""
-        return 1 if self._mirror.form == PLAIN else max(1, min(_MOST_PARTS, self.txn_ops - 1))
+        return (
+            1
+            if self._mirror.schema_version == SCHEMA_V1
+            else max(1, min(_MOST_PARTS, self.txn_ops - 1))
+        )
 
     def spec_room(self) -> float:
         """How long a job's record may be while nothing of it is live."""
-        if self._mirror.form == PLAIN:
+        if self._mirror.schema_version == SCHEMA_V1:
             return self.today.value_bytes * _SPEC_SHARE
         return self.parts * self.value_bytes * (1 - _LIVE_LEAST)
 
     def most_live(self, spec_bytes: int = 512) -> int:
         """How many tasks of a job may be live such that its record stays within the limits."""
-        if self._mirror.form == PLAIN:
+        if self._mirror.schema_version == SCHEMA_V1:
             return max(8, int(self.today.value_bytes * _LIVE_SHARE / _ITEM_BYTES))
         room = self.parts * self.value_bytes - spec_bytes
         return max(8, int(room / _FOLDED_ITEM_BYTES))
@@ -79,7 +83,7 @@
             self._txn_ops = max(LEAST_TXN_OPS, changes // 2)
             return True
         smaller = min(largest, self.value_bytes) * 0.7
-        if self._mirror.form == PLAIN or smaller < _LEAST_VALUE_BYTES:
+        if self._mirror.schema_version == SCHEMA_V1 or smaller < _LEAST_VALUE_BYTES:
             return False
         self._value_bytes = smaller
         return True
--- a/src/sandladder/state/token_bucket.py
+++ b/src/sandladder/state/token_bucket.py
@@ -3,7 +3,7 @@
 from sandladder import clock
 
 
-class Budget:
+class AdaptiveTokenBucket:
     """Our share of a rate limit that all controllers use.
 
     The share follows what each of them has to do (see `Controller._share_writes`), so that
--- a/src/sandladder/state/watch.py
+++ b/src/sandladder/state/watch.py
@@ -9,28 +9,28 @@
 from sandladder import clock
 from sandladder.concurrency import Signal
 from sandladder.protocol import wire
-from sandladder.state.cache import Mirror
-from sandladder.state.errors import Unavailable
+from sandladder.state.cache import StateCache
+from sandladder.state.errors import StoreRequestError
 from sandladder.state.records import PREFIXES
-from sandladder.state.store_client import StateClient
+from sandladder.state.store_client import StoreClient
 
 log = logging.getLogger(__name__)
 
 
-class Watch:
+class StoreWatch:
     """Keeps the mirror current, and tells when it is as new as a moment that just passed."""
 
     def __init__(
         self,
-        state: StateClient,
-        mirror: Mirror,
+        state: StoreClient,
+        cache: StateCache,
         nodes: int,
         on_change: Callable[[dict[str, None]], None],
         on_synced: Callable[[float], None],
         report_s: float,
     ) -> None:
-        self._state = state
-        self._mirror = mirror
+        self._store = state
+        self._mirror = cache
         self._on_change = on_change
         self._on_synced = on_synced
         share = state.limits.rps / nodes
@@ -49,7 +49,7 @@
         self._demand.set()
         await event.wait()
 
-    def poke(self) -> None:
+    def wake(self) -> None:
         """There is news, or soon will be."""
         self._demand.set()
 
@@ -60,7 +60,7 @@
             waiting, self._waiting = self._waiting, []
             try:
                 await self._advance()
-            except (Unavailable, wire.Malformed) as error:
+            except (StoreRequestError, wire.MalformedMessageError) as error:
                 log.debug("reading the state service failed: %s", error)
                 self._waiting = waiting + self._waiting
                 await anyio.sleep(self._spacing_s * 2)
@@ -74,13 +74,13 @@
                 await self._demand.wait(self._idle_s)
 
     async def _advance(self) -> None:
-        found = await self._state.follow(self._mirror.revision) if self.loaded else None
+        found = await self._store.follow(self._mirror.revision) if self.loaded else None
         read: dict[str, None] = {}
         if found is None:
             read = await self._load()
-            found = await self._state.follow(self._mirror.revision)
+            found = await self._store.follow(self._mirror.revision)
             if found is None:
-                raise Unavailable("the log moved on while it was read")
+                raise StoreRequestError("the log moved on while it was read")
         # Nobody acts on what was read before the changes made meanwhile are in: records of
         # several parts may not fit together until then.
         changed = read | self._mirror.apply(*found)
@@ -92,7 +92,7 @@
         items: list[tuple[str, Any, int]] = []
         revisions = []
         for prefix in PREFIXES:
-            revision, found = await self._state.read_all(prefix)
+            revision, found = await self._store.read_all(prefix)
             revisions.append(revision)
             items += found
         changed = self._mirror.reset(min(revisions), items)
--- a/src/sandladder/transport/peer_transport.py
+++ b/src/sandladder/transport/peer_transport.py
@@ -16,9 +16,9 @@
 from sandladder import clock
 from sandladder.concurrency import Signal
 from sandladder.config.settings import Peer, split_addr
-from sandladder.model.agents import Stamp
-from sandladder.model.machines import Seen
-from sandladder.model.schema import PLAIN
+from sandladder.model.agents import ClockReading
+from sandladder.model.machines import MachineStatus
+from sandladder.model.schema import SCHEMA_V1
 
 log = logging.getLogger(__name__)
 
@@ -26,8 +26,8 @@
 _QUEUE_LIMIT = 256
 
 
-class Beat(msgspec.Struct, tag="beat", array_like=True):
-    """A sign of life; `state_ok` says that the sender reaches the state service.
+class PeerHeartbeat(msgspec.Struct, tag="beat", array_like=True):
+    """A sign of life; `store_reachable` says that the sender reaches the state service.
 
     `demand` is how many changes it has waiting for the store, `form` the newest form of
     records that it understands.  The version before sends three fields and ignores more.  From
@@ -41,9 +41,9 @@
     """
 
     node: str
-    state_ok: bool
+    store_reachable: bool
     demand: int = 0
-    form: int = PLAIN
+    schema_version: int = SCHEMA_V1
     term: int = 0
     token: int = 0
     late_s: float = 0.0
@@ -52,12 +52,12 @@
     heard: dict[str, tuple[float, bool]] = {}
     process: int = 0
     stamp: float = 0.0
-    echoes: dict[str, Stamp] = {}
+    echoes: dict[str, ClockReading] = {}
     cancelled: list[str] = []
     whole: bool = False
 
 
-class Poke(msgspec.Struct, tag="poke", array_like=True):
+class ChangeNotice(msgspec.Struct, tag="poke", array_like=True):
     """Something that concerns the receiver was committed: read the changes now."""
 
     revision: int
@@ -75,21 +75,21 @@
     outcome: str
 
 
-class Sighting(msgspec.Struct, tag="sighting", array_like=True):
+class MachineUpdate(msgspec.Struct, tag="sighting", array_like=True):
     """A machine came, changed or is about to go, as its controller hears it."""
 
     node: str
     machine: str
-    seen: Seen
+    seen: MachineStatus
 
 
-class Ends(msgspec.Struct, tag="ends", array_like=True):
+class EndedTasks(msgspec.Struct, tag="ends", array_like=True):
     """Proved ends: room for all, and for whoever places the jobs' team to commit."""
 
     ends: list[EndedTask]
 
 
-class Ask(msgspec.Struct, tag="ask", array_like=True):
+class ForwardedRequest(msgspec.Struct, tag="ask", array_like=True):
     """A user's request that the asker cannot serve, for one who can."""
 
     node: str
@@ -99,7 +99,7 @@
     body: bytes
 
 
-class Answer(msgspec.Struct, tag="answer", array_like=True):
+class ForwardedResponse(msgspec.Struct, tag="answer", array_like=True):
     """What the receiver's user is to be told."""
 
     number: int
@@ -111,35 +111,39 @@
 # How a connection may end that we sent on.
 _BROKEN = (OSError, TimeoutError, anyio.BrokenResourceError, anyio.ClosedResourceError)
 
-Message = Beat | Poke | Sighting | Ends | Ask | Answer
+Message = (
+    PeerHeartbeat | ChangeNotice | MachineUpdate | EndedTasks | ForwardedRequest | ForwardedResponse
+)
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(Message)
 
 
-class Link:
+class PeerConnection:
     """Our side of the way to one peer: a bounded queue that one routine sends."""
 
-    def __init__(self, peer: Peer, beat_s: float, told: Callable[[str, bool], None]) -> None:
+    def __init__(
+        self, peer: Peer, heartbeat_interval_s: float, told: Callable[[str, bool], None]
+    ) -> None:
         """`told` hears that the link broke or was made, and whether connections are refused."""
         self.peer = peer
-        self._beat_s = beat_s
+        self._beat_s = heartbeat_interval_s
         self._told = told
         self._queue: deque[Message] = deque(maxlen=_QUEUE_LIMIT)
         self._work = Signal()
         self.heard_at = float("-inf")
         self.demand = 0
-        self.form = PLAIN
+        self.schema_version = SCHEMA_V1
 
     def send(self, message: Message) -> None:
         """Queue a hint; when the queue is full the oldest is dropped."""
         self._queue.append(message)
         self._work.set()
 
-    def nudge(self) -> None:
+    def flush(self) -> None:
         """Send a beat now: there is something new in it."""
         self._work.set()
 
-    async def run(self, beat: Callable[[], Beat | None]) -> None:
+    async def run(self, heartbeat: Callable[[], PeerHeartbeat | None]) -> None:
         """Keep a connection and send what is queued, with beats in between."""
         host, port = split_addr(self.peer.addr)
         while True:
@@ -155,12 +159,14 @@
             self._told(self.peer.node_name, False)
             try:
                 async with stream:
-                    await self._until_broken(stream, beat)
+                    await self._until_broken(stream, heartbeat)
             except _BROKEN:
                 pass
             log.info("the link to %s broke", self.peer.node_name)
 
-    async def _until_broken(self, stream: SocketStream, beat: Callable[[], Beat | None]) -> None:
+    async def _until_broken(
+        self, stream: SocketStream, heartbeat: Callable[[], PeerHeartbeat | None]
+    ) -> None:
         """Send until the peer closes.
 
         It never answers here, but its end is only seen by reading.  Seen in a measured day: a
@@ -170,7 +176,7 @@
 
             async def send() -> None:
                 with contextlib.suppress(*_BROKEN):
-                    await self._send_all(stream, beat)
+                    await self._send_all(stream, heartbeat)
                 tasks.cancel_scope.cancel()
 
             tasks.start_soon(send)
@@ -178,9 +184,11 @@
                 await stream.receive(1)
             tasks.cancel_scope.cancel()
 
-    async def _send_all(self, stream: SocketStream, beat: Callable[[], Beat | None]) -> None:
+    async def _send_all(
+        self, stream: SocketStream, heartbeat: Callable[[], PeerHeartbeat | None]
+    ) -> None:
         while True:
-            sign = beat()
+            sign = heartbeat()
             messages = [*self._queue, *([sign] if sign else [])]
             self._queue.clear()
             data = b"".join(_frame(message) for message in messages)
