--- /dev/null
+++ b/tests/simulation/answer_consistency.py
@@ -0,0 +1,92 @@
+"""Checks of what users were answered.
+
+Answers are ordered in real time: a request sent after an answer arrived never gets an older one.
+Requests in flight at the same time may differ.  But of `done` and `cancelled` only one is ever
+answered for a job, whatever the order.
+"""
+
+from collections.abc import Callable
+from typing import Any
+
+FINAL_STATES = ("done", "cancelled")
+# The fields that a submission must have.
+REQUIRED_FIELDS = (
+    "id", "docket", "bureau", "form", "rank", "entries", "vcpus", "gpus", "ram_gb", "parcel",
+    "image_gb", "same_place", "apart", "loaners", "expect_s", "bookmark_s", "stamp_s",
+)  # fmt: skip
+
+
+class AnswerHistory:
+    """The answers that arrived about each job, and when first; all times in virtual seconds."""
+
+    def __init__(self, record_violation: Callable[[str, str], None]) -> None:
+        self._record_violation = record_violation
+        self.accepted_at: dict[str, float] = {}
+        self.over: dict[str, str] = {}  # the final state that was answered first
+        self.over_at: dict[str, float] = {}
+
+    def check_unknown(self, job_id: str, sent: float, status: int) -> None:
+        """A 404, 400 or 422 arrived for a request about this job.
+
+        Rule `forgotten`: an accepted job gets 404, or a repeated submission of it gets 400 or 422.
+        """
+        if sent > self.accepted_at.get(job_id, sent):
+            self._record_violation("forgotten", f"{job_id} got {status}")
+
+    def check_accepted_anew(self, job_id: str, sent: float) -> None:
+        """A 201 arrived for a submission.
+
+        Rule `forgotten`: a submission that is repeated after its acceptance gets 200, not 201.
+        """
+        if sent > self.accepted_at.get(job_id, sent):
+            self._record_violation("forgotten", f"{job_id} was accepted anew")
+
+    def check_state(self, job_id: str, state: str, sent: float, arrived: float) -> None:
+        """An answer arrived that says in which state a job is.
+
+        Rule `went_back`: a job that was called done or cancelled is called something else.
+        """
+        self.accepted_at.setdefault(job_id, arrived)
+        before = self.over.get(job_id)
+        if state in FINAL_STATES:
+            # One of the two answers was wrong, whichever request was sent first.
+            if before not in (None, state):
+                self._record_violation("went_back", f"{job_id} was {before}, is {state}")
+            self.over.setdefault(job_id, state)
+            self.over_at.setdefault(job_id, arrived)
+        elif before is not None and sent > self.over_at[job_id]:
+            self._record_violation("went_back", f"{job_id} was {before}, is {state}")
+
+
+def lacks_field(spec: dict[str, Any]) -> bool:
+    """Whether a submission lacks a field that may not be absent."""
+    return any(spec.get(field) is None for field in REQUIRED_FIELDS)
+
+
+def can_never_run(
+    spec: dict[str, Any],
+    types: dict[str, dict[str, float]],
+    zones: list[str],
+    teams: list[dict[str, Any]],
+) -> bool:
+    """Whether a job can never run, by the protocol's page and not by the code under test."""
+    team = next((team for team in teams if team["name"] == spec["bureau"]), None)
+    if team is None:
+        return True
+    if spec["district"] is not None and spec["district"] not in zones:
+        return True
+    sizes = ("vcpus", "gpus", "ram_gb")
+    if not any(
+        (spec["breeds"] is None or name in spec["breeds"])
+        and all(spec[size] <= kind[size] for size in sizes)
+        for name, kind in types.items()
+    ):
+        return True
+    tasks = 1 if spec["form"] == "array" else spec["entries"]
+    return is_over_limit(team, spec["vcpus"] * tasks, spec["gpus"] * tasks)
+
+
+def is_over_limit(team: dict[str, Any], cpus: float, gpus: float) -> bool:
+    """Whether a team that uses so much is over its limit; a limit of 0 means that it has none."""
+    limits = ((team.get("cpus_max", 0.0), cpus), (team.get("gpus_max", 0.0), gpus))
+    return any(limit > 0 and used > limit for limit, used in limits)
--- /dev/null
+++ b/tests/simulation/machines.py
@@ -0,0 +1,87 @@
+"""Machines and the tasks on them, as they really are: what the rules are checked against."""
+
+from typing import Any, Literal
+
+import anyio
+
+from simulation.deployment import MACHINE_TYPES
+from simulation.event_loop import now
+
+TaskState = Literal["fetching", "waiting", "running", "flushing", "exited"]
+MachineState = Literal["starting", "running", "failed", "deleted"]
+
+# How long the fetch of an image takes for each GB, in seconds.
+_FETCH_S_PER_GB = 0.5
+
+
+class Task:
+    """One attempt of a task on a machine."""
+
+    def __init__(self, spec: dict[str, Any], name: str, attempt: int, left_s: float) -> None:
+        self.spec = spec  # the submission of its job
+        self.name, self.attempt = name, attempt
+        self.state: TaskState = "fetching"
+        self.cause, self.saved = "", False  # of its exit
+        # When its image is there; once it runs, when its run began.
+        self.ready_at = now() + _FETCH_S_PER_GB * spec["image_gb"]
+        self.left_s = left_s  # run time that is left
+        self.flushed_at = 0.0  # when its checkpoint is saved
+        self.waits_since = 0.0  # since when it waits for its gang
+
+    @property
+    def on_machine(self) -> bool:
+        """Whether it is on its machine in the sense of the rules."""
+        return self.state in ("waiting", "running", "flushing")
+
+
+class Machine:
+    """A rented machine, its tasks and the protocol state of its worker."""
+
+    def __init__(self, name: str, kind: str, zone: str, spot: bool) -> None:
+        self.name, self.kind, self.zone, self.spot = name, kind, zone, spot
+        self.rented_at = now()
+        self.boots_at = now()
+        self.gone_at: float | None = None
+        self.state: MachineState = "starting"
+        self.epoch, self.sequence, self.fencing_token = 1, 0, 0
+        self.tasks: dict[str, Task] = {}  # by name and attempt
+        self.lease_started_at = 0.0
+        self.reporting_controller = 0  # the index of the controller that it reports to
+        self.changed = anyio.Event()  # set by what is reported at once
+        # Faults.
+        self.hung_until = 0.0  # until then it neither runs tasks nor communicates
+        # Until then its heartbeats arrive, while responses and direct commands are lost.
+        self.responses_lost_until = 0.0
+        # Until then its heartbeats are lost, while direct commands arrive.
+        self.heartbeats_lost_until = 0.0
+        self.faulty = False  # every task fails on it
+        self.notice_until: float | None = None  # when the cloud takes it away, if it gave notice
+
+    def free(self) -> tuple[float, ...]:
+        """CPUs, GPUs and GB of memory that no live task takes."""
+        kind = MACHINE_TYPES[self.kind]
+        live = [t.spec for t in self.tasks.values() if t.state != "exited"]
+        return tuple(kind[k] - sum(s[k] for s in live) for k in ("vcpus", "gpus", "ram_gb"))
+
+    def heartbeat(self) -> dict[str, Any]:
+        """The next heartbeat with the status of all tasks, as it is sent."""
+        self.sequence += 1
+        entries = []
+        for task in self.tasks.values():
+            entry = {"entry": task.name, "try": task.attempt, "standing": task.state}
+            if task.state == "exited":
+                entry |= {"cause": task.cause} | ({"saved": True} if task.saved else {})
+            entries.append(entry)
+        notice_s = None if self.notice_until is None else self.notice_until - now()
+        return {
+            "rung": self.name,
+            "addr": f"{self.name}:9000",
+            "breed": self.kind,
+            "district": self.zone,
+            "loaners": self.spot,
+            "shift": self.epoch,
+            "tally": self.sequence,
+            "seal": self.fencing_token,
+            "recall_s": notice_s,
+            "entries": entries,
+        }
--- /dev/null
+++ b/tests/simulation/network.py
@@ -0,0 +1,140 @@
+"""The simulated network: requests with delays, cuts that drop messages or hold them back."""
+
+import contextvars
+from collections import Counter
+from collections.abc import Awaitable, Callable
+from random import Random
+from typing import Any, Literal
+
+import anyio
+import cbor2
+
+from sandladder.transport import HttpError, Request, Response
+from simulation.event_loop import CURRENT_PROCESSOR, now
+from simulation.tracing import TRACE
+
+CutMode = Literal["drop", "hold"]
+Handler = Callable[[str, Request], Awaitable[Response]]
+
+# The shortest time that a message takes, in seconds.
+_LEAST_DELAY_S = 0.0005
+# How often a message that is held back looks whether the network is whole again, in seconds.
+_HELD_CHECK_S = 0.5
+
+
+class Network:
+    """Carries requests between hosts by name; one random delay each way."""
+
+    def __init__(self, rng: Random, observed: Counter[str]) -> None:
+        self.rng = rng
+        self.handlers: dict[str, Handler] = {}
+        self.cuts: dict[frozenset[str], CutMode] = {}
+        self.one_way: dict[tuple[str, str], CutMode] = {}  # from the first to the second host
+        self.refused: set[frozenset[str]] = set()  # pairs of controllers that refuse connections
+        # Called before and after each request is handled: (when, source, target, request).
+        self.trap: Callable[[str, str, str, Request], None] | None = None
+        # Called with the commands that a controller sends directly to a worker.
+        self.on_commands: Callable[[list[dict[str, Any]]], None] | None = None
+        self.tasks: Any = None  # the task group of the simulation
+        self.delay_s = 0.01  # how long a message takes at most, in seconds
+        self._observed = observed
+
+    def cut(self, one: str, other: str, mode: CutMode) -> None:
+        """Cut two hosts off from each other."""
+        self.cuts[frozenset((one, other))] = mode
+
+    def heal(self) -> None:
+        """End all cuts; what was held back is delivered."""
+        self.cuts.clear()
+        self.one_way.clear()
+        self.refused.clear()
+
+    def between(self, source: str, target: str) -> CutMode | None:
+        """What happens to messages from one host to another now, if they are cut off."""
+        return self.one_way.get((source, target)) or self.cuts.get(frozenset((source, target)))
+
+    def start(self, routine: Callable[[], Awaitable[object]]) -> None:
+        """Start a routine of the simulation itself, outside any controller's processor."""
+        context = contextvars.copy_context()
+        context.run(CURRENT_PROCESSOR.set, None)
+        context.run(self.tasks.start_soon, routine)
+
+    async def call(self, source: str, target: str, request: Request, timeout: float) -> Response:
+        """Send a request and wait up to `timeout` seconds for its response.
+
+        The request may be handled although its sender has given up or was cancelled.
+
+        Raises:
+            HttpError: no response in time.
+        """
+        responses: list[Response] = []
+        arrived = anyio.Event()
+        TRACE.record("request", source, target, request.method, request.path, request.body)
+
+        async def carry() -> None:
+            response = await self._deliver(source, target, request, timeout)
+            if response is None:
+                return
+            await anyio.sleep(self.rng.uniform(_LEAST_DELAY_S, self.delay_s))
+            if self.between(target, source) is None:
+                responses.append(response)
+                arrived.set()
+
+        self.start(carry)
+        with anyio.move_on_after(timeout):
+            await arrived.wait()
+        if not responses:
+            raise HttpError("no answer")
+        return responses[0]
+
+    async def _deliver(
+        self, source: str, target: str, request: Request, timeout: float
+    ) -> Response | None:
+        """Carry a request to its target and have it handled; None if it is lost."""
+        await anyio.sleep(self.rng.uniform(_LEAST_DELAY_S, self.delay_s))
+        sent = now()
+        while (mode := self.between(source, target)) is not None:
+            if mode == "drop":
+                return None
+            await anyio.sleep(_HELD_CHECK_S)
+        if request.path == "/do" and now() - sent > timeout:
+            self._observed["late command"] += 1
+        if self.trap is not None:
+            self.trap("before", source, target, request)
+        handler = self.handlers.get(target)
+        if handler is None:
+            return None
+        response = await handler(source, request)
+        details = request.path, response.status, response.retry_after, response.body
+        TRACE.record("answer", target, source, *details)
+        if self.trap is not None:
+            self.trap("after", source, target, request)
+        return response
+
+
+class SimulatedHttpClient:
+    """Stands in for a controller's `HttpClient`."""
+
+    def __init__(self, network: Network, source: str, host: str, failure: type[Exception]) -> None:
+        self._network, self._source, self._host = network, source, host
+        # The error class of the controller's own version.
+        self._failure = failure
+
+    async def request(
+        self, method: str, target: str, body: bytes = b"", *, timeout: float
+    ) -> Response:
+        """Send one request.
+
+        Raises:
+            HttpError: no response within `timeout` seconds; the class of the controller's version.
+        """
+        request = Request(method, target, body)
+        if target == "/do" and self._network.on_commands is not None:
+            self._network.on_commands(cbor2.loads(body)["orders"])
+        try:
+            return await self._network.call(self._source, self._host, request, timeout)
+        except HttpError as error:
+            raise self._failure(str(error)) from None
+
+    async def aclose(self) -> None:
+        """Nothing is kept open."""
--- /dev/null
+++ b/tests/simulation/store.py
@@ -0,0 +1,256 @@
+"""The simulated state service: a consensus-backed key-value store with leases and a watch."""
+
+import functools
+import itertools
+import json
+from collections import Counter, deque
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+from urllib.parse import parse_qs, urlsplit
+
+import anyio
+import cbor2
+
+from sandladder.transport import Request, Response
+from simulation import rules
+from simulation.deployment import NEXT, WRITE_RPS
+from simulation.event_loop import now
+from simulation.shared_state import SharedState
+
+# How many changes the watch remembers.
+_LOG_LENGTH = 500
+_NEVER_S = 1e6
+# How late a transaction without a response is applied, in seconds.
+_LATE_COMMIT_S = (2.0, 12.0)
+# A while after a response was lost, in seconds: others have read what was written.
+_READ_BY_OTHERS_S = 0.8
+_LARGEST_CONDITIONS = 4  # times as many conditions as changes
+
+# A status and the body of a response.
+Answer = tuple[int, dict[str, Any]]
+
+
+@dataclass
+class UnansweredCommits:
+    """The fault that transactions get no response, and are applied at once or much later."""
+
+    share: float = 0.0  # of the transactions that are selected
+    selects: Callable[[Any], bool] = bool  # by the changes of a transaction
+    certain: int = 0  # so many of the selected ones first, whatever the share
+    at_once: bool = False  # applied at once, only the response is lost
+    on_lost: Callable[[str], None] | None = None  # called at once with the writer
+
+
+class Store:
+    """The state service."""
+
+    def __init__(self, shared: SharedState) -> None:
+        self._shared = shared
+        self.revision = 0
+        # By key: value, revision of its last change, lease.
+        self.items: dict[str, tuple[Any, int, int | None]] = {}
+        self._log: deque[tuple[int, str, Any]] = deque(maxlen=_LOG_LENGTH)
+        self._leases: dict[int, tuple[float, float]] = {}  # id -> (expiry, ttl)
+        self._lease_ids = itertools.count(1)
+        # Limits.
+        self.txn_ops, self.value_bytes, self.write_rps = 12, 8 * 1024.0, WRITE_RPS
+        self._tokens, self._tokens_at = WRITE_RPS, 0.0
+        # Faults.
+        self.down = False
+        self.refuses: set[str] = set()  # controllers that get 503
+        self.late: dict[str, float] = {}  # by controller: how late transactions are answered
+        self.slow_s = 0.0  # mean time that each request takes, in seconds
+        self.unanswered = UnansweredCommits()
+        # What was observed.
+        self.history: list[tuple[float, str, Any]] = []  # all changes: when, key, value
+        self.writes: Counter[str] = Counter()  # by the beginning of the key
+        self.largest = 0  # bytes of the largest value
+        self.over = 0  # requests refused for the rate
+        self.too_large = 0  # transactions refused for their size
+
+    def outage(self, down: bool) -> None:
+        """Begin or end an outage; after it all leases have their full time again."""
+        self.down = down
+        if not down:
+            self._leases = {i: (now() + ttl, ttl) for i, (_, ttl) in self._leases.items()}
+
+    def apply_next_limits(self) -> None:
+        """The limits that the settings announce as `next` begin."""
+        self.txn_ops = int(NEXT["txn_ops"])
+        self.value_bytes = NEXT["value_kb"] * 1024
+        self.write_rps = NEXT["write_rps"]
+
+    async def handle(self, source: str, request: Request) -> Response:
+        """Handle one request; a cancelled request may have been carried out."""
+        if self.down or source in self.refuses:
+            return Response(503)
+        if self.slow_s:
+            await anyio.sleep(self._shared.rng.uniform(0.0, 2 * self.slow_s))
+        self._expire_leases()
+        url = urlsplit(request.path)
+        query = {k: v[0] for k, v in parse_qs(url.query).items()}
+        body = cbor2.loads(request.body) if request.body else {}
+        if url.path == "/commit" and self._stays_unanswered(body):
+            self._apply_unanswered(source, body)
+            await anyio.sleep(_NEVER_S)
+        status, answer = self._answer(request.method, url.path, query, body)
+        if source in self.late and url.path == "/commit":
+            await anyio.sleep(self.late[source])
+        return Response(status, cbor2.dumps(answer))
+
+    # Transactions without a response
+
+    def _stays_unanswered(self, body: Any) -> bool:
+        fault = self.unanswered
+        if not fault.share or not fault.selects(body["apply"]):
+            return False
+        if fault.certain <= 0 and self._shared.rng.random() >= fault.share:
+            return False
+        fault.certain -= 1
+        return True
+
+    def _apply_unanswered(self, source: str, body: Any) -> None:
+        if not self.unanswered.at_once:
+            self._shared.network.start(functools.partial(self._apply_late, body))
+            return
+        status, _ = self._commit(body)
+        if status == 200:
+            self._shared.met["answer lost"] += 1
+            lost = functools.partial(self._watch_lost_response, source, self.revision)
+            self._shared.network.start(lost)
+
+    async def _watch_lost_response(self, writer: str, revision: int) -> None:
+        """Note whether others read a change while its writer does not know that it was made."""
+        if self.unanswered.on_lost is not None:
+            self.unanswered.on_lost(writer)
+        await anyio.sleep(_READ_BY_OTHERS_S)
+        others = [node for name, node in self._shared.nodes.items() if name != writer]
+        seen = any(node.cache.revision >= revision for node in others)
+        self._shared.met["read by others while its writer did not know"] += seen
+
+    async def _apply_late(self, body: Any) -> None:
+        """Apply a transaction that its sender has long given up."""
+        await anyio.sleep(self._shared.rng.uniform(*_LATE_COMMIT_S))
+        while self.down:
+            await anyio.sleep(0.5)
+        self._expire_leases()
+        status, _ = self._commit(body)
+        self._shared.met["late write " + ("taken" if status == 200 else "refused")] += 1
+
+    # Requests
+
+    def _answer(self, method: str, path: str, query: dict[str, str], body: Any) -> Answer:
+        if path == "/commit":
+            return self._commit(body)
+        if path == "/follow":
+            return self._changes_since(int(query["after"]), query["prefix"])
+        if path == "/holds":
+            return self._grant_lease(body["ttl_ms"] / 1000)
+        if path.endswith("/renew"):
+            return self._renew_lease(int(path.split("/")[2]))
+        if path == "/store":
+            return self._list(query["prefix"], query.get("after", ""), int(query["most"]))
+        item = self.items.get(path.removeprefix("/store/"))
+        if item is None:
+            return 404, {"ledger": self.revision}
+        return 200, {"key": path, "v": item[0], "edition": item[1]}
+
+    def _changes_since(self, after: int, prefix: str) -> Answer:
+        """The changes after a revision; the simulated watch never waits."""
+        if self._log and after < self._log[0][0] - 1:
+            return 410, {}
+        log = [
+            {"drop": k, "edition": r} if v is None else {"put": k, "v": v, "edition": r}
+            for r, k, v in self._log
+            if r > after and k.startswith(prefix)
+        ]
+        return 200, {"ledger": self.revision, "log": log}
+
+    def _list(self, prefix: str, after: str, most: int) -> Answer:
+        keys = sorted(k for k in self.items if k.startswith(prefix) and k > after)
+        page = [{"key": k, "v": self.items[k][0], "edition": self.items[k][1]} for k in keys[:most]]
+        return 200, {"items": page, "more": len(keys) > most, "ledger": self.revision}
+
+    def _grant_lease(self, ttl_s: float) -> Answer:
+        lease = next(self._lease_ids)
+        self._leases[lease] = now() + ttl_s, ttl_s
+        return 200, {"tenure": lease}
+
+    def _renew_lease(self, lease: int) -> Answer:
+        if lease not in self._leases:
+            return 404, {}
+        ttl_s = self._leases[lease][1]
+        self._leases[lease] = now() + ttl_s, ttl_s
+        return 200, {"tenure": lease}
+
+    def _expire_leases(self) -> None:
+        for lease in [i for i, (expiry, _) in self._leases.items() if expiry < now()]:
+            self._end_lease(lease)
+
+    def _end_lease(self, lease: int) -> None:
+        """End a lease and remove the keys attached to it."""
+        self._leases.pop(lease, None)
+        keys = [k for k, item in self.items.items() if item[2] == lease]
+        if keys:
+            self.revision += 1
+            for key in keys:
+                self._change(key, None, None)
+
+    def _commit(self, body: Any) -> Answer:
+        """Apply a transaction if all its conditions hold and no limit is in the way."""
+        changes, conditions = body["apply"], body["guards"]
+        for change in changes:
+            if change.get("tenure") is not None and change["tenure"] not in self._leases:
+                return 400, {"error": "no such lease"}
+        sizes = [len(json.dumps(c["v"], separators=(",", ":"))) for c in changes if "v" in c]
+        if (
+            len(changes) > self.txn_ops
+            or len(conditions) > _LARGEST_CONDITIONS * self.txn_ops
+            or any(size > self.value_bytes for size in sizes)
+        ):
+            self.too_large += 1
+            return 400, {"error": "too large"}
+        if not self._take_tokens(len(changes)):
+            self.over += 1
+            return 429, {}
+        failed = [
+            c["key"] for c in conditions if self.items.get(c["key"], (0, 0))[1] != c["edition"]
+        ]
+        if failed:
+            return 409, {"failed": failed, "ledger": self.revision}
+        if changes:
+            self.revision += 1
+        self.largest = max([self.largest, *sizes])
+        for change in changes:
+            self._apply(change)
+        return 200, {"ledger": self.revision}
+
+    def _take_tokens(self, number: int) -> bool:
+        """Whether the rate limit allows so many changes now."""
+        rate = self.write_rps
+        self._tokens = min(rate, self._tokens + (now() - self._tokens_at) * rate)
+        self._tokens_at = now()
+        if self._tokens < number:
+            return False
+        self._tokens -= number
+        return True
+
+    def _apply(self, change: dict[str, Any]) -> None:
+        if "put" not in change:
+            self._change(change["drop"], None, None)
+            return
+        key, value = change["put"], change["v"]
+        before, _, _ = self.items.get(key, (None, 0, None))
+        rules.check_committed_starts(self._shared, key, before, value)
+        self._change(key, value, change.get("tenure"))
+
+    def _change(self, key: str, value: Any, lease: int | None) -> None:
+        """Write one key at the current revision; None removes it."""
+        self.writes[key[:4]] += 1
+        self.history.append((now(), key, value))
+        if value is None:
+            self.items.pop(key, None)
+        else:
+            self.items[key] = value, self.revision, lease
+        self._log.append((self.revision, key, value))
--- /dev/null
+++ b/tests/test_combined_faults.py
@@ -0,0 +1,265 @@
+"""Faults that coincide: each scenario is brought about, shown to have been, and breaks no rule.
+
+`docs/meetings.md` says of each what could go wrong and which guard prevents it.
+"""
+
+import anyio
+import pytest
+
+from simulation import LEASE_S, ZONES, SimulatedCluster, now, run
+from simulation.fault_scenarios import (
+    CANCEL_S,
+    FaultScenario,
+    cancel_running_jobs,
+    leader,
+    run_with_faults,
+)
+from simulation.faults import random_machines, restart, running_machines
+
+
+async def leaders_end_with_uncommitted_ends(cluster: SimulatedCluster) -> None:
+    """Leaders end one after the other while tasks of a job end, before proved ends are committed."""
+    for _ in range(3):
+        await anyio.sleep(cluster.rng.uniform(4.0, 8.0))
+        index = leader(cluster)
+        cluster.store.refuses = {f"node-{index}"}
+        await anyio.sleep(cluster.rng.uniform(0.3, 1.5))
+        node = cluster.nodes.get(f"node-{index}")
+        if node is not None:
+            ends = sum(
+                len(node.reconciler.ends(d, node.cache)) for d in node.reconciler.machines.values()
+            )
+            cluster.met["end proved, not committed"] += ends
+        cluster.store.refuses = set()
+        await restart(cluster, index, cluster.rng.uniform(0.3, 4.0))
+
+
+async def delayed_heartbeats(cluster: SimulatedCluster) -> None:
+    """Copies of heartbeats arrive up to well over a lease later, while workers change controllers."""
+    cluster.duplicated_heartbeat_share = 0.5
+    for _ in range(4):
+        await anyio.sleep(cluster.rng.uniform(3.0, 6.0))
+        index = leader(cluster)
+        kind = cluster.rng.randrange(3)
+        if kind == 0:
+            await restart(cluster, index, cluster.rng.uniform(0.1, 3.0))
+        elif kind == 1:
+            for worker in random_machines(cluster, 2):
+                cluster.network.cut(worker.name, f"node-{index}", "hold")
+            await anyio.sleep(cluster.rng.uniform(5.0, LEASE_S))
+            cluster.network.heal()
+        else:
+            cluster.freeze(index)
+            await anyio.sleep(cluster.rng.uniform(4.0, LEASE_S + 4.0))
+            cluster.thaw(index)
+    await anyio.sleep(10.0)
+    cluster.duplicated_heartbeat_share = 0.0
+
+
+async def slow_store_then_outage(cluster: SimulatedCluster) -> None:
+    """The store answers slowly, refuses the leader, then everybody for longer than `cancel_s`."""
+    cluster.store.slow_s = 0.4
+    await anyio.sleep(6.0)
+    cluster.store.refuses = {f"node-{leader(cluster)}"}
+    await anyio.sleep(cluster.rng.uniform(0.5, 6.0))
+    cluster.store.outage(True)
+    cluster.store.refuses, cluster.store.slow_s = set(), 0.0
+    answered_at = [at for at in cluster.cancelled_at.values() if at < float("inf")]
+    cluster.met["cancelled just before"] += sum(now() - at < 8.0 for at in answered_at)
+    await anyio.sleep(CANCEL_S + 6.0)
+    cluster.store.outage(False)
+
+
+async def responses_lost(cluster: SimulatedCluster) -> None:
+    """A leader ends while workers with long tasks get no response, or are unreachable."""
+    for _ in range(2):
+        await anyio.sleep(cluster.rng.uniform(4.0, 8.0))
+        index = leader(cluster)
+        for worker in random_machines(cluster, 2):
+            worker.responses_lost_until = now() + cluster.rng.uniform(5.0, 2 * LEASE_S)
+        for worker in random_machines(cluster, 4):
+            for other in range(cluster.count):
+                cluster.network.cut(
+                    worker.name, f"node-{other}", cluster.rng.choice(["hold", "drop"])
+                )
+        cluster.met["leader ended"] += 1
+        await restart(cluster, index, cluster.rng.uniform(0.3, 4.0))
+        await anyio.sleep(cluster.rng.uniform(4.0, 2 * LEASE_S))
+        cluster.network.heal()
+
+
+async def late_transactions(cluster: SimulatedCluster) -> None:
+    """Transactions get no response and are applied after newer ones, also of an ended process."""
+    cluster.store.unanswered.share = 0.25
+    for _ in range(3):
+        await anyio.sleep(cluster.rng.uniform(4.0, 8.0))
+        await restart(cluster, leader(cluster), cluster.rng.uniform(0.1, 2.0))
+    await anyio.sleep(5.0)
+    cluster.store.unanswered.share = 0.0
+
+
+async def all_controllers_restart(cluster: SimulatedCluster) -> None:
+    """Controllers restart in turn, then all end, and one returns within a second."""
+    for index in range(cluster.count):
+        await restart(cluster, index, cluster.rng.uniform(0.2, 3.0))
+        await anyio.sleep(cluster.rng.uniform(0.5, 4.0))
+    for index in range(cluster.count):
+        cluster.crash(index)
+    cluster.met["all ended"] += not cluster.nodes
+    first = cluster.rng.randrange(cluster.count)
+    await anyio.sleep(cluster.rng.uniform(0.1, 0.9))
+    cluster.boot(first)
+    await anyio.sleep(cluster.rng.uniform(1.0, 6.0))
+    for index in range(cluster.count):
+        cluster.boot(index)
+    await anyio.sleep(3.0)
+
+
+async def leader_partitioned(cluster: SimulatedCluster) -> None:
+    """A leader loses the store and the other controllers, not its workers and users."""
+    index = leader(cluster)
+    for other in ["state", *(f"node-{i}" for i in range(cluster.count) if i != index)]:
+        cluster.network.cut(f"node-{index}", other, cluster.rng.choice(["hold", "drop"]))
+    began, seconds = now(), 0
+    while now() - began < CANCEL_S + 8.0:
+        seconds += any(w.reporting_controller == index for w, _ in cluster.present())
+        await anyio.sleep(1.0)
+        answer = await cluster.ask("GET", "/work/job-000000", node=index)
+        cluster.met["the leader answered a user"] += answer.status == 200
+    cluster.met["work reported to the leader"] += seconds
+    cluster.network.heal()
+
+
+async def commands_delayed(cluster: SimulatedCluster) -> None:
+    """Commands and responses are delayed by seconds; machines hang within their lease and go on."""
+    for _ in range(5):
+        await anyio.sleep(cluster.rng.uniform(2.0, 5.0))
+        index = leader(cluster)
+        for worker in random_machines(cluster, 2):
+            worker.hung_until = now() + cluster.rng.uniform(1.0, LEASE_S - 1.0)
+        for worker in random_machines(cluster, 2):
+            cluster.network.one_way[f"node-{index}", worker.name] = "hold"
+        await anyio.sleep(cluster.rng.uniform(2.5, LEASE_S - 2.0))
+        cluster.network.heal()
+
+
+async def store_responses_lost(cluster: SimulatedCluster) -> None:
+    """Transactions are applied at once and only their responses are lost, while leaders end."""
+    cluster.store.unanswered.share, cluster.store.unanswered.at_once = 0.25, True
+    for _ in range(3):
+        await anyio.sleep(cluster.rng.uniform(3.0, 6.0))
+        await restart(cluster, leader(cluster), cluster.rng.uniform(0.1, 2.0))
+    cluster.store.unanswered.share, cluster.store.unanswered.at_once = 0.0, False
+
+
+async def heartbeats_lost(cluster: SimulatedCluster) -> None:
+    """Half of the workers reach no controller while jobs that run there are cancelled."""
+    for _ in range(2):
+        await anyio.sleep(cluster.rng.uniform(3.0, 6.0))
+        for worker in random_machines(cluster, 2):
+            worker.heartbeats_lost_until = now() + cluster.rng.uniform(5.0, 2 * LEASE_S)
+        await cancel_running_jobs(cluster, 2)
+        await restart(cluster, leader(cluster), cluster.rng.uniform(0.3, 4.0))
+        await anyio.sleep(cluster.rng.uniform(4.0, LEASE_S))
+
+
+async def replayed_heartbeats(cluster: SimulatedCluster) -> None:
+    """Old heartbeats reach every controller just as a new leader begins."""
+    for _ in range(3):
+        cluster.kept_heartbeat_share = 0.4
+        await anyio.sleep(cluster.rng.uniform(3.0, 6.0))
+        cluster.kept_heartbeat_share = 0.0
+        await restart(cluster, leader(cluster), cluster.rng.uniform(0.1, 1.0))
+        await anyio.sleep(cluster.rng.uniform(0.3, 1.0))
+        cluster.replay_kept_heartbeats()
+        await anyio.sleep(cluster.rng.uniform(1.0, 4.0))
+
+
+async def cancelled_on_hanging_machines(cluster: SimulatedCluster) -> None:
+    """Jobs are cancelled, their machines hang, some within their lease, and the leader ends."""
+    for _ in range(3):
+        await anyio.sleep(cluster.rng.uniform(3.0, 6.0))
+        await cancel_running_jobs(cluster, 3, cluster.rng.uniform(4.0, LEASE_S + 4.0))
+        await anyio.sleep(cluster.rng.uniform(0.0, 0.5))
+        await restart(cluster, leader(cluster), cluster.rng.uniform(0.3, 3.0))
+
+
+async def concurrent_reads(cluster: SimulatedCluster) -> None:
+    """Users read at all controllers at once what is accepted, ends or is cancelled."""
+    cluster.close_looks = 0.7
+    await anyio.sleep(25.0)
+    cluster.close_looks = 0.0
+
+
+async def cancelled_at_completion(cluster: SimulatedCluster) -> None:
+    """Jobs are cancelled as their last task ends."""
+    cluster.cancel_at_end = 0.4
+    await anyio.sleep(25.0)
+    cluster.cancel_at_end = 0.0
+
+
+async def machines_replaced_at_once(cluster: SimulatedCluster) -> None:
+    """Machines end, and those that replace them are up at once and get work."""
+    cluster.cloud.fast_boot_share = 1.0
+    for _ in range(3):
+        for worker in running_machines(cluster)[::2]:
+            worker.vanish(cluster.rng.random() < 0.5)
+        await anyio.sleep(cluster.rng.uniform(4.0, 8.0))
+        young = [w for w in running_machines(cluster) if w.tasks and now() - w.boots_at < 8.0]
+        cluster.met["work on machines just up"] += len(young)
+        await restart(cluster, leader(cluster), cluster.rng.uniform(0.3, 2.0))
+    cluster.cloud.fast_boot_share = 0.0
+
+
+async def zone_partitioned(cluster: SimulatedCluster) -> None:
+    """A zone with workers and a controller is cut off from everything else."""
+    await anyio.sleep(4.0)
+    # The faults coincide only once work runs inside.
+    with anyio.move_on_after(10 * LEASE_S):
+        while not any(worker.zone == ZONES[1] for worker, _ in cluster.present()):
+            await anyio.sleep(0.1)
+    hosts = ["state", "cloud", "user", *(f"node-{i}" for i in range(cluster.count))]
+    inside = [w.name for w in running_machines(cluster) if w.zone == ZONES[1]] + ["node-1"]
+    for one in inside:
+        for other in [*hosts, *(w.name for w in running_machines(cluster))]:
+            if other not in inside:
+                cluster.network.cut(one, other, cluster.rng.choice(["hold", "drop"]))
+    tasks_inside = [w for w, _ in cluster.present() if w.name in inside]
+    cluster.met["work in a cut zone"] += len(tasks_inside)
+    await anyio.sleep(LEASE_S + cluster.rng.uniform(2.0, 8.0))
+    cluster.network.heal()
+
+
+# Each with the observations that show that it was brought about.
+SCENARIOS: dict[FaultScenario, tuple[str, ...]] = {
+    leaders_end_with_uncommitted_ends: ("end proved, not committed",),
+    delayed_heartbeats: ("duplicated heartbeat",),
+    slow_store_then_outage: ("cancelled just before",),
+    responses_lost: ("response lost", "leader ended"),
+    late_transactions: ("late write refused",),
+    all_controllers_restart: ("all ended",),
+    leader_partitioned: ("work reported to the leader",),
+    commands_delayed: ("late command",),
+    store_responses_lost: ("read by others while its writer did not know",),
+    heartbeats_lost: ("heartbeat lost",),
+    replayed_heartbeats: ("old heartbeat at every controller",),
+    cancelled_on_hanging_machines: ("hung with cancelled work",),
+    concurrent_reads: ("looked at when accepted", "looked at when done"),
+    cancelled_at_completion: ("cancelled at its end",),
+    machines_replaced_at_once: ("work on machines just up",),
+    zone_partitioned: ("work in a cut zone",),
+}
+
+
+def play_scenarios(seed: int, *scenarios: FaultScenario, jobs: int = 14) -> list[str]:
+    """Run these scenarios at once; the observations that are missing.  No rule may break."""
+    cluster = SimulatedCluster(seed, cancel_s=CANCEL_S)
+    run(cluster, lambda: run_with_faults(cluster, scenarios, jobs))
+    assert cluster.broken == [], cluster.broken[:3]
+    expected = [name for scenario in scenarios for name in SCENARIOS[scenario]]
+    return [name for name in expected if not cluster.met[name]]
+
+
+@pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda s: s.__name__)
+def test_a_combination_of_faults_breaks_no_rule(scenario: FaultScenario) -> None:
+    assert not play_scenarios(700 + list(SCENARIOS).index(scenario), scenario)
