--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -12,7 +12,7 @@
 from sandladder.protocol import wire
 from sandladder.scheduling import ClusterView, Gate, Planner
 from sandladder.state import FINAL, StateCache, StoreLimits, Transaction
-from world import job, settings
+from simulation import job, settings
 
 LIMITS = TeamLimits("red", 16.0, 48.0, 2.0, 4.0)
 
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -19,7 +19,7 @@
     store_messages,
     wire,
 )
-from world import job
+from simulation import job
 
 OPTIONAL_FIELDS = ("breeds", "district", "due_s", "awaits")
 ODD_VALUES: list[Any] = [
--- a/tests/test_reconciliation.py
+++ b/tests/test_reconciliation.py
@@ -5,7 +5,7 @@
 from sandladder.jobs import start
 from sandladder.model import AgentHeartbeat, Attempt, Command, EndedAttempt, Placement, ReportedTask
 from sandladder.state import StateCache, Transaction
-from world import settings
+from simulation import settings
 
 RUNNING = ReportedTask("job-000001", 0, 1, "running", "", False)
 EXITED = ReportedTask("job-000001", 0, 1, "exited", "full", False)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -7,7 +7,7 @@
 
 from sandladder.cli import main
 from sandladder.config import Objective, Settings, SettingsError, parse_operator, split_addr
-from world import settings
+from simulation import settings
 
 GOOD = (
     'node_name = "n"\nlocation = "z"\napi_addr = "1.2.3.4:1"\nmesh_addr = "1.2.3.4:2"\n'
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -28,7 +28,7 @@
 )
 from sandladder.state.pending_change import fair_order
 from sandladder.transport import Response
-from world import settings
+from simulation import settings
 
 
 def test_rejections_leave_most_of_the_write_rate() -> None:
--- a/tools/scale_run.py
+++ b/tools/scale_run.py
@@ -186,7 +186,7 @@
         options.seed, options.controllers, limits=list(teams(options.teams)), **limits._asdict()
     )
     cluster.store.write_rps, cluster.store.txn_ops = limits.write_rps, limits.txn_ops
-    cluster.cloud.most = options.workers
+    cluster.cloud.capacity = options.workers
     found: dict[str, Any] = {
         "workers": options.workers,
         "controllers": options.controllers,
@@ -197,9 +197,9 @@
     began = time.monotonic()
     run(cluster, lambda: play(cluster, options, found))
     found["real time (s)"] = round(time.monotonic() - began, 1)
-    found["rules broken"] = [str(broken) for broken in cluster.broken[:5]]
+    found["rules broken"] = [str(broken) for broken in cluster.violations[:5]]
     print(json.dumps(found, indent=2))
-    return 1 if cluster.broken else 2 if "ended early at" in found else 0
+    return 1 if cluster.violations else 2 if "ended early at" in found else 0
 
 
 if __name__ == "__main__":
