--- a/src/sandladder/jobs/__init__.py
+++ b/src/sandladder/jobs/__init__.py
@@ -1,13 +1,13 @@
-"""The life of jobs: the transitions that they may undergo, and the services that commit these.
+"""The job life cycle: state transitions, and the services that commit them.
 
-`transitions` and `starts` decide, on a transaction and without I/O, what may happen to a job.
-`JobCommitter` commits proved ends and released starts; `DependencyResolver` and
-`DependentCanceller` see to jobs that depend on others; `JobArchiver` moves the records of
-finished jobs.
+`transitions` and `starts` validate changes to jobs and apply them to a transaction, without I/O.
+`JobCommitter` commits ended attempts and released starts; `DependencyResolver` and
+`DependentCanceller` handle jobs with dependencies; `JobArchiver` moves the records of finished
+jobs.
 
-The package owns what waits to be committed of jobs and what is under way of it, all in memory and
-found again from the records after a crash.  It never chooses machines (`scheduling`), never sends
-an agent anything itself (`agents`), and writes nothing but through `state.GroupCommitter`.
+The package holds the uncommitted and in-flight changes of jobs.  This state is in memory only and
+is rebuilt from the records after a crash.  The package never chooses machines (`scheduling`), never
+sends messages to agents (`agents`), and writes only through `state.GroupCommitter`.
 """
 
 from sandladder.jobs.archiver import JobArchiver
--- a/src/sandladder/jobs/archiver.py
+++ b/src/sandladder/jobs/archiver.py
@@ -1,4 +1,4 @@
-"""Archiving of finished jobs."""
+"""Archiving of the records of finished jobs."""
 
 from functools import partial
 from itertools import islice
@@ -16,14 +16,13 @@
     StoreLimits,
 )
 
-# Puts and deletes that the archiving of one job takes.
-_CHANGES_PER_JOB = 2
+_OPERATIONS_PER_JOB = 2  # puts and deletes in a transaction
 
 
 class JobArchiver:
-    """Moves the records of finished jobs out of the live jobs' place, in the store's idle time.
+    """Moves the records of finished jobs to the archive while the store is idle.
 
-    Each finished job is one controller's to archive, so that they do not collide.
+    Each job is assigned to one live controller by a hash of its ID, which avoids write conflicts.
     """
 
     def __init__(
@@ -45,31 +44,32 @@
         self._peers = peers
 
     def archive_when_idle(self) -> None:
-        """Have one transaction's worth of our finished jobs archived, if nothing else is written.
+        """Queue the archiving of finished jobs if the store is idle, at most one transaction.
 
-        Returns at once; a change that is not committed is made again by a later call.
+        Only jobs that are assigned to this controller are queued.  Does not wait for the commit; a
+        later call retries the jobs whose change was not committed.
         """
         unarchived = self._cache.unarchived
         if not unarchived or not self._is_idle():
             return
-        live = self._peers.live_nodes()
-        ours = (
+        live_nodes = self._peers.live_nodes()
+        assigned = (
             job_id
             for job_id in unarchived
-            if live[crc32(job_id.encode()) % len(live)] == self._node
+            if live_nodes[crc32(job_id.encode()) % len(live_nodes)] == self._node
         )
-        for job_id in list(islice(ours, max(1, self._limits.txn_ops // _CHANGES_PER_JOB))):
+        for job_id in list(islice(assigned, max(1, self._limits.txn_ops // _OPERATIONS_PER_JOB))):
             self._committer.add(
                 PendingChange(
                     f"archive {job_id}",
                     PRIORITY_BACKGROUND,
-                    _CHANGES_PER_JOB,
+                    _OPERATIONS_PER_JOB,
                     partial(archive_job, job_id=job_id),
                 )
             )
 
     def _is_idle(self) -> bool:
-        """Whether nothing waits to be written, and we may write."""
+        """Return whether no write is pending and this controller's lease is valid."""
         return (
             not self._committer.queued
             and self._store.writes.idle
--- a/src/sandladder/jobs/backoff.py
+++ b/src/sandladder/jobs/backoff.py
@@ -1,4 +1,4 @@
-"""Backoff of jobs whose tasks fail or are refused."""
+"""Exponential backoff of jobs whose attempts fail or are refused."""
 
 import logging
 
@@ -8,31 +8,29 @@
 
 log = logging.getLogger(__name__)
 
-# The delay doubles with each machine that a job failed on, up to so many.
-_MAX_DOUBLINGS = 9
-# The longest delay, in agent leases.
-_MAX_DELAY_LEASES = 2
+_MAX_DOUBLINGS = 9  # the delay doubles with each further machine that a job failed on
+_MAX_DELAY_LEASES = 2  # in agent leases
 
 
 class JobBackoff:
-    """Until when the jobs whose tasks failed of late are not planned again.
+    """The jobs that are not planned for a while after a failed or refused attempt.
 
-    Pure: no I/O, no clock.
+    Performs no I/O and reads no clock.
     """
 
     def __init__(self, planner: Planner, workers: AgentSettings) -> None:
         self._planner = planner
         self._cluster_view = planner.cluster_view
         self._workers = workers
-        self._until: dict[str, float] = {}
+        self._not_before: dict[str, float] = {}
 
     @property
-    def until(self) -> dict[str, float]:
-        """By job, until when it is not planned, on the steady clock in seconds."""
-        return self._until
+    def not_before(self) -> dict[str, float]:
+        """By job ID, the earliest time of its next planning, on the steady clock in seconds."""
+        return self._not_before
 
-    def note(self, ended: EndedAttempt) -> None:
-        """Delay a job whose attempt failed or was refused; other ends delay nothing."""
+    def record_end(self, ended: EndedAttempt) -> None:
+        """Delay the job if its attempt failed or was refused; ignore other outcomes."""
         job = self._cluster_view.cache.jobs.get(ended.job)
         if job is None or ended.outcome not in FAILURES | REFUSALS:
             return
@@ -40,16 +38,16 @@
         if ended.outcome in REFUSALS:
             self._cluster_view.avoid_machine(ended.attempt.machine, self._workers.report_s)
         else:
-            delay_s = self._after_failure(ended, delay_s)
-        self._until[ended.job] = max(
-            self._until.get(ended.job, 0), self._cluster_view.now + delay_s
+            delay_s = self._record_failure(ended, delay_s)
+        self._not_before[ended.job] = max(
+            self._not_before.get(ended.job, 0), self._cluster_view.now + delay_s
         )
-        log.debug("%s/%d ended with %s", ended.job, ended.task, ended.outcome)
+        log.debug("task %s/%d ended with outcome %s", ended.job, ended.task, ended.outcome)
 
-    def _after_failure(self, ended: EndedAttempt, delay_s: float) -> float:
-        """Have a job avoid the machine on which it failed; how long it is delayed, in seconds.
+    def _record_failure(self, ended: EndedAttempt, delay_s: float) -> float:
+        """Exclude the machine for this job and return the job's delay in seconds.
 
-        The more machines it failed on, the longer.
+        `delay_s`, the delay after the first failure, doubles with each further machine.
         """
         failed_on = self._planner.failed_machines.setdefault(ended.job, set())
         failed_on.add(ended.attempt.machine)
@@ -57,5 +55,9 @@
         return min(_MAX_DELAY_LEASES * self._workers.lease_s, delay_s * 2.0**doublings)
 
     def forget_expired(self, now: float) -> None:
-        """Drop the jobs that may be planned again."""
-        self._until = {job_id: until for job_id, until in self._until.items() if until > now}
+        """Drop the jobs whose backoff has ended."""
+        self._not_before = {
+            job_id: not_before
+            for job_id, not_before in self._not_before.items()
+            if not_before > now
+        }
--- a/src/sandladder/jobs/dependency_resolver.py
+++ b/src/sandladder/jobs/dependency_resolver.py
@@ -1,4 +1,4 @@
-"""The duty that resolves dependencies: how they ended, and what follows for their dependents."""
+"""Resolution of job dependencies: reads their outcomes and triggers what depends on them."""
 
 import logging
 
@@ -21,14 +21,13 @@
 
 log = logging.getLogger(__name__)
 
-# Records of finished jobs that are read at a time.
-_CONCURRENT_READS = 8
+_MAX_CONCURRENT_READS = 8  # of records of finished jobs
 
 
 class DependencyResolver:
-    """Reads how dependencies ended, and has the dependents of cancelled ones cancelled.
+    """Reads the outcomes of dependencies and cancels the dependents of cancelled jobs.
 
-    Everything is derived from the records: any live controller finishes it, after any crash.
+    All state is derived from the records, so any live controller can continue after a crash.
     """
 
     def __init__(
@@ -41,7 +40,7 @@
         canceller: DependentCanceller,
         plan_due: Signal,
     ) -> None:
-        """`plan_due` is raised when a dependency turns out to be over."""
+        """Create the resolver; `plan_due` is set when a finished dependency is found."""
         self._lease_s = workers.lease_s
         self._interval_s = workers.report_s / 4
         self._store = store
@@ -50,12 +49,12 @@
         self._controller_lease = controller_lease
         self._canceller = canceller
         self._plan_due = plan_due
-        self.due = Signal()  # raised by others when the records have changed
-        # Dependencies of which no record was found, and when to look again, on the steady clock.
-        self._missing: dict[str, float] = {}
+        self.due = Signal()  # set by the caller when the records have changed
+        # By ID of a dependency without a record, the time of the next read, on the steady clock.
+        self._missing_retry_at: dict[str, float] = {}
 
     async def run(self) -> None:
-        """Resolve what is not resolved yet, until cancelled."""
+        """Resolve unresolved dependencies until cancelled."""
         while True:
             await self.due.wait(self._interval_s)
             if not self._watch.loaded:
@@ -63,62 +62,66 @@
             try:
                 await self._resolve_all()
             except StoreRequestError as error:
-                log.debug("the outcome of dependencies cannot be read: %s", error)
+                log.debug("cannot read the outcomes of dependencies: %s", error)
                 await anyio.sleep(self._interval_s)
             if self._controller_lease.alive():
                 self._canceller.cancel_dependents()
 
     async def _resolve_all(self) -> None:
         now = clock.now()
-        names = self._cache.dependency_index.unresolved()
-        await self.resolve([name for name in names if self._missing.get(name, now) <= now])
+        job_ids = self._cache.dependency_index.unresolved()
+        await self.resolve(
+            [job_id for job_id in job_ids if self._missing_retry_at.get(job_id, now) <= now]
+        )
 
-    async def resolve(self, names: list[str]) -> None:
-        """Read how jobs ended that are not live but named by accepted ones.
+    async def resolve(self, job_ids: list[str]) -> None:
+        """Read the outcomes of dependencies that are not live.
 
         Raises:
-            StoreRequestError: some could not be read; what was read by then is kept.
+            StoreRequestError: a record could not be read; the records read before it are cached.
         """
-        for name, final in (await self.read_finished_jobs(names)).items():
-            if final is not None:
-                self._missing.pop(name, None)
+        for job_id, finished_job in (await self.read_finished_jobs(job_ids)).items():
+            if finished_job is not None:
+                self._missing_retry_at.pop(job_id, None)
                 self._plan_due.set()
-            elif name not in self._cache.jobs:
-                # Named by an accepted job, so accepted, and gone: its dependents never start.
-                if name not in self._missing:
-                    log.error("there is no record of %s, on which others depend", name)
-                self._missing[name] = clock.now() + self._lease_s
+            elif job_id not in self._cache.jobs:
+                # Only accepted jobs are dependencies, so its record is lost and its dependents
+                # cannot start.
+                if job_id not in self._missing_retry_at:
+                    log.error("no record of job %s; its dependents cannot start", job_id)
+                self._missing_retry_at[job_id] = clock.now() + self._lease_s
 
-    async def read_finished_jobs(self, names: list[str]) -> dict[str, FinishedJob | None]:
-        """How these jobs ended, read now where it is not in memory; None: not among the finished.
+    async def read_finished_jobs(self, job_ids: list[str]) -> dict[str, FinishedJob | None]:
+        """Return the records of finished jobs, read from the store where they are not cached.
 
-        Cancelled, it leaves in memory what was read by then.
+        A job without a record of a finished job maps to None.  Records that were read before a
+        cancellation stay in the cache.
 
         Raises:
-            StoreRequestError: some could not be read.
+            StoreRequestError: a record could not be read.
         """
-        found: dict[str, FinishedJob | None] = {
-            name: self._cache.finished_job(name) for name in names
+        finished_jobs: dict[str, FinishedJob | None] = {
+            job_id: self._cache.finished_job(job_id) for job_id in job_ids
         }
-        unread = [name for name, final in found.items() if final is None]
-        # Collected, as the task group would wrap what is raised in it.
+        unread = [job_id for job_id, finished_job in finished_jobs.items() if finished_job is None]
+        # Collected instead of raised, as the task group would wrap them in an exception group.
         failures: list[StoreRequestError] = []
 
         async def read_next() -> None:
             while unread and not failures:
-                name = unread.pop()
+                job_id = unread.pop()
                 try:
-                    stored = await self._store.get(FINISHED_JOB_PREFIX + name)
+                    stored = await self._store.get(FINISHED_JOB_PREFIX + job_id)
                 except StoreRequestError as error:
                     failures.append(error)
                     return
                 if stored is not None:
-                    final = found[name] = read_finished_job(*stored)
-                    self._cache.add_finished_job(name, final)
+                    finished_job = finished_jobs[job_id] = read_finished_job(*stored)
+                    self._cache.add_finished_job(job_id, finished_job)
 
         async with anyio.create_task_group() as tasks:
-            for _ in range(min(_CONCURRENT_READS, len(unread))):
+            for _ in range(min(_MAX_CONCURRENT_READS, len(unread))):
                 tasks.start_soon(read_next)
         if failures:
             raise failures[0]
-        return found
+        return finished_jobs
--- a/src/sandladder/jobs/dependent_canceller.py
+++ b/src/sandladder/jobs/dependent_canceller.py
@@ -1,4 +1,4 @@
-"""Cancellation of jobs that can never start, because one of their dependencies is cancelled."""
+"""Cancellation of jobs that cannot start because one of their dependencies was cancelled."""
 
 import logging
 from collections.abc import Callable
@@ -19,16 +19,15 @@
 
 log = logging.getLogger(__name__)
 
-# Puts and deletes that a cancellation takes at most.
-_MOST_CHANGES = 2
+_MAX_OPERATIONS = 2  # puts and deletes of a cancellation
 
 
 class DependentCanceller:
-    """Commits the cancellations that follow from the records.
+    """Cancels the dependents of cancelled jobs.
 
-    The controller to which a job's team is assigned does it at once, any other when it is not done
-    in good time.  It owns since when the jobs are to be cancelled, and which cancellations are
-    under way; either is found again from the records after a crash.
+    The controller to which a job's team is assigned cancels it at once; any other controller
+    cancels it after a timeout.  All state is in memory and is rebuilt from the records after a
+    crash.
     """
 
     def __init__(
@@ -39,45 +38,45 @@
         committer: GroupCommitter,
         peers: PeerService,
         background: BackgroundTasks,
-        wall: Callable[[], float],
+        wall_clock_s: Callable[[], float],
     ) -> None:
-        """`wall`: the time of day, in seconds."""
+        """Create the canceller; `wall_clock_s` returns the time of day in seconds."""
         self._node = node
         self._cache = cache
         self._committer = committer
         self._peers = peers
         self._background = background
-        self._wall = wall
-        # How long the assignee has before any other controller cancels a job.
-        self._assignee_s = workers.cancel_s / 8
-        self._found_at: dict[str, float] = {}
-        self._under_way: set[str] = set()
+        self._wall_clock_s = wall_clock_s
+        # Any other controller cancels a job that its assignee did not cancel within this time.
+        self._assignee_timeout_s = workers.cancel_s / 8
+        self._due_since: dict[str, float] = {}  # by job ID, on the steady clock
+        self._in_flight: set[str] = set()
 
     def cancel_dependents(self) -> None:
-        """Start to cancel what is ours to cancel by now.  Returns at once."""
+        """Start the cancellations that are due on this controller, without waiting for them."""
         now = clock.now()
         teams = {job.id: job.spec.team for job in self._cache.dependency_index.jobs_to_cancel()}
-        self._found_at = {job_id: self._found_at.get(job_id, now) for job_id in teams}
+        self._due_since = {job_id: self._due_since.get(job_id, now) for job_id in teams}
         for job_id, team in teams.items():
-            if job_id in self._under_way:
+            if job_id in self._in_flight:
                 continue
-            overdue = now - self._found_at[job_id] > self._assignee_s
+            overdue = now - self._due_since[job_id] > self._assignee_timeout_s
             if overdue or self._peers.assignee(team) == self._node:
-                self._under_way.add(job_id)
+                self._in_flight.add(job_id)
                 self._background.start_soon(self._cancel, job_id)
 
     async def _cancel(self, job_id: str) -> None:
-        """Commit one cancellation; one that is refused is looked for again if it is still due."""
-        log.info("%s is cancelled, as one of its dependencies is", job_id)
+        """Commit one cancellation; a later round retries it if it is refused and still due."""
+        log.info("cancelling job %s: one of its dependencies was cancelled", job_id)
 
         def apply(transaction: Transaction) -> bool:
-            cancel(transaction, job_id, self._wall())
+            cancel(transaction, job_id, self._wall_clock_s())
             return True
 
-        change = PendingChange(f"cancel {job_id}", PRIORITY_REQUEST, _MOST_CHANGES, apply)
+        change = PendingChange(f"cancel {job_id}", PRIORITY_REQUEST, _MAX_OPERATIONS, apply)
         try:
             await self._committer.add(change).wait()
         except PreconditionFailedError as refusal:
-            log.debug("%s: %s", job_id, refusal)
+            log.debug("cancellation of job %s refused: %s", job_id, refusal)
         finally:
-            self._under_way.discard(job_id)
+            self._in_flight.discard(job_id)
--- a/src/sandladder/jobs/end_announcer.py
+++ b/src/sandladder/jobs/end_announcer.py
@@ -1,4 +1,4 @@
-"""What follows from the proof that an attempt has ended, before that is committed."""
+"""Handling of ended attempts before their ends are committed."""
 
 import logging
 from collections.abc import Callable, Iterable, Mapping
@@ -13,24 +13,24 @@
 
 log = logging.getLogger(__name__)
 
-# So many times the time that an end may wait for its commit, and we commit it ourselves.
-_WAITS_FOR_ASSIGNEE = 3
+# How long the assignee has to commit an end before this controller does, in `max_wait_s`.
+_ASSIGNEE_TIMEOUT_WAITS = 3
 
 Commit = Callable[[EndedAttempt], None]
 
 
 class ProvedEnd(NamedTuple):
-    """When an end was first proved here, and which controller was last to be informed of it."""
+    """An attempt's end that this controller has proved."""
 
-    at: float  # on the steady clock, in seconds
-    assignee: str
+    proved_at: float  # on the steady clock, in seconds
+    assignee: str  # the controller that was last told to commit it
 
 
 class EndAnnouncer:
-    """Frees what a proved end leaves, informs the peers, and sees to it that one commits it.
+    """Frees the capacity of ended attempts, notifies the peers, and has one controller commit them.
 
-    That is the controller to which the job's team is assigned.  It owns which ends were proved of
-    late; a proof is repeated by each heartbeat until the end is committed.
+    An end is committed by the controller to which the job's team is assigned.  The announcer keeps
+    the recently proved ends, as each heartbeat reports an end again until it is committed.
     """
 
     def __init__(
@@ -42,8 +42,15 @@
         max_wait_s: float,
         commit: Commit,
     ) -> None:
-        """`max_wait_s`: how long an end may wait for its commit, in seconds; `commit` is called
-        with each end that this controller is to commit, perhaps repeatedly.
+        """Create the announcer.
+
+        Args:
+            node: this controller's name.
+            cluster_view: where the capacity is freed.
+            peers: the other controllers, and the assignment of teams.
+            plan_due: set when capacity is freed.
+            max_wait_s: the longest time that an end may wait for its commit, in seconds.
+            commit: called with each end that this controller must commit, possibly repeatedly.
         """
         self._node = node
         self._cluster_view = cluster_view
@@ -56,56 +63,58 @@
 
     @property
     def proved(self) -> Mapping[AttemptKey, ProvedEnd]:
-        """The ends that were proved here of late."""
+        """The ends that this controller proved recently."""
         return self._proved
 
     def collect_ends(self, ends: Iterable[EndedAttempt]) -> None:
-        """Take in ends that were proved here; those taken in before count as repeated."""
+        """Process ends that this controller has proved, including repeated ones."""
         now = clock.now()
         first_proved: list[peer_transport.EndedTask] = []
         reassigned: dict[str, list[peer_transport.EndedTask]] = {}
         for ended in ends:
             key = AttemptKey(ended.job, ended.task, ended.attempt.attempt)
             assignee = self._assignee(ended)
-            known = self._proved.get(key)
-            if known is None:
-                known = self._proved[key] = ProvedEnd(now, assignee)
-                self._note_first(ended)
-                first_proved.append(_message(ended))
-            elif known.assignee != assignee:
-                # The controller that was informed is not the assignee any more.
-                self._proved[key] = ProvedEnd(known.at, assignee)
-                reassigned.setdefault(assignee, []).append(_message(ended))
-            # What the assignee does not commit in good time, we do.
-            overdue = now - known.at > _WAITS_FOR_ASSIGNEE * self._max_wait_s
+            proved_end = self._proved.get(key)
+            if proved_end is None:
+                proved_end = self._proved[key] = ProvedEnd(now, assignee)
+                self._release_capacity(ended)
+                first_proved.append(_end_message(ended))
+            elif proved_end.assignee != assignee:
+                # The team was reassigned: the new assignee has not been told to commit this end.
+                self._proved[key] = ProvedEnd(proved_end.proved_at, assignee)
+                reassigned.setdefault(assignee, []).append(_end_message(ended))
+            # This controller commits an end that its assignee does not commit in time.
+            overdue = now - proved_end.proved_at > _ASSIGNEE_TIMEOUT_WAITS * self._max_wait_s
             if assignee == self._node or overdue:
                 self._commit(ended)
-        self._inform_peers(first_proved, reassigned)
+        self._notify_peers(first_proved, reassigned)
 
-    def receive(self, ended: EndedAttempt) -> None:
-        """Take in an end that a peer has proved."""
+    def handle_peer_end(self, ended: EndedAttempt) -> None:
+        """Process an end that a peer has proved."""
         self._cluster_view.note_ended(ended)
         self._plan_due.set()
         job = self._cache.jobs.get(ended.job)
         if job is not None and self._peers.assignee(job.spec.team) == self._node:
             self._commit(ended)
 
-    def forget(self, now: float, after_s: float) -> None:
-        """Drop what was proved so long ago, in seconds."""
+    def forget(self, now: float, max_age_s: float) -> None:
+        """Drop the ends that were proved at least `max_age_s` seconds ago."""
         self._proved = {
-            key: proved for key, proved in self._proved.items() if now - proved.at < after_s
+            key: proved_end
+            for key, proved_end in self._proved.items()
+            if now - proved_end.proved_at < max_age_s
         }
 
     def _assignee(self, ended: EndedAttempt) -> str:
-        """The controller that should commit an end; we, where the job is not known."""
+        """Return the controller that must commit an end: this one if the job is unknown."""
         job = self._cache.jobs.get(ended.job)
         return self._peers.assignee(job.spec.team) if job else self._node
 
-    def _note_first(self, ended: EndedAttempt) -> None:
-        """Give away what an attempt used as soon as its end is proved."""
+    def _release_capacity(self, ended: EndedAttempt) -> None:
+        """Release the capacity of an attempt whose end was proved for the first time."""
         if ended.outcome in (AttemptOutcome.LOST, AttemptOutcome.NEVER_RAN):
             log.info(
-                "%s/%d has ended on %s: %s",
+                "task %s/%d ended on machine %s: %s",
                 ended.job,
                 ended.task,
                 ended.attempt.machine,
@@ -114,12 +123,12 @@
         self._cluster_view.note_ended(ended)
         self._plan_due.set()
 
-    def _inform_peers(
+    def _notify_peers(
         self,
         first_proved: list[peer_transport.EndedTask],
         reassigned: dict[str, list[peer_transport.EndedTask]],
     ) -> None:
-        """Send all peers the new ends, and new assignees those that others were to commit."""
+        """Send new ends to all peers, and ends of reassigned teams to the new assignees."""
         connections = self._peers.connections
         if first_proved:
             for connection in connections.values():
@@ -129,8 +138,8 @@
                 connections[assignee].send(peer_transport.EndedTasks(ends))
 
 
-def _message(ended: EndedAttempt) -> peer_transport.EndedTask:
-    """An end as it is sent to peers."""
+def _end_message(ended: EndedAttempt) -> peer_transport.EndedTask:
+    """Return the message that tells peers of an end."""
     attempt = ended.attempt
     return peer_transport.EndedTask(
         job=ended.job,
--- a/src/sandladder/jobs/end_queue.py
+++ b/src/sandladder/jobs/end_queue.py
@@ -1,4 +1,4 @@
-"""Proved ends that wait to be committed."""
+"""Queue of ended attempts that wait for their commit."""
 
 from collections.abc import Collection
 
@@ -14,59 +14,60 @@
 )
 from sandladder.scheduling import Planner
 
-# A team is near its limit when less than this share of it is left.
-_NEAR_LIMIT = 0.1
+# A team is near its limit when less than this share of the limit is left.
+_NEAR_LIMIT_SHARE = 0.1
 
 
 class EndQueue:
-    """The proved ends of each job that wait to be committed, and by when they must be.
+    """The uncommitted ends of each job, and the time by which they must be committed.
 
-    The store takes few changes, so an end that nothing waits for is kept back until others share
-    its commit.  What the attempt used is given away before that.  Pure: no I/O, no clock.
+    The store's write rate is limited, so an end that is not urgent is delayed and committed
+    together with others.  The attempt's capacity is released earlier, when the end is proved.
+    Performs no I/O and reads no clock.
     """
 
     def __init__(self, planner: Planner, max_wait_s: float) -> None:
-        """`max_wait_s`: how long an end may be kept back, in seconds."""
+        """Create the queue; `max_wait_s` is the longest delay of an end, in seconds."""
         self._planner = planner
         self._cluster_view = planner.cluster_view
         self._cache = planner.cluster_view.cache
         self._max_wait_s = max_wait_s
         self._ends: dict[str, dict[AttemptKey, EndedAttempt]] = {}
-        self._due: dict[str, float] = {}
+        self._due_at: dict[str, float] = {}  # by job ID, on the steady clock
 
     def add(self, ended: EndedAttempt, now: float) -> bool:
-        """Add an end; whether its job must be committed at once.
+        """Add an end and return whether its job must be committed at once.
 
-        An end that waits already is passed over.
+        An end that is already queued is ignored.
         """
-        waiting = self._ends.setdefault(ended.job, {})
+        queued = self._ends.setdefault(ended.job, {})
         key = AttemptKey(ended.job, ended.task, ended.attempt.attempt)
-        if key in waiting:
+        if key in queued:
             return False
-        waiting[key] = ended
-        due = now if self._is_urgent(ended) else now + self._max_wait_s
-        self._due[ended.job] = min(due, self._due.get(ended.job, due))
-        return due <= now
+        queued[key] = ended
+        due_at = now if self._is_urgent(ended) else now + self._max_wait_s
+        self._due_at[ended.job] = min(due_at, self._due_at.get(ended.job, due_at))
+        return due_at <= now
 
-    def of(self, job_id: str) -> Collection[EndedAttempt]:
-        """The ends of a job that wait."""
+    def queued_ends(self, job_id: str) -> Collection[EndedAttempt]:
+        """Return the queued ends of a job."""
         return self._ends.get(job_id, {}).values()
 
     def pop(self, job_id: str) -> Collection[EndedAttempt]:
-        """Take out the ends of a job."""
-        self._due.pop(job_id, None)
+        """Remove and return the queued ends of a job."""
+        self._due_at.pop(job_id, None)
         return self._ends.pop(job_id, {}).values()
 
     def due_jobs(self, now: float) -> list[str]:
-        """The jobs with ends that may be kept back no longer."""
-        return [job_id for job_id, due in self._due.items() if due <= now]
+        """Return the IDs of the jobs whose queued ends are due for a commit."""
+        return [job_id for job_id, due_at in self._due_at.items() if due_at <= now]
 
-    def end_all(self, job: Job) -> bool:
-        """Whether the ends that wait are those of all live attempts of a job."""
-        return 0 < len(job.live) <= len(self.of(job.id))
+    def covers_all_live(self, job: Job) -> bool:
+        """Return whether the ends of all live attempts of a job are queued."""
+        return 0 < len(job.live) <= len(self.queued_ends(job.id))
 
     def _is_urgent(self, ended: EndedAttempt) -> bool:
-        """Whether something waits for this end to be committed."""
+        """Return whether a start or a job's completion depends on the commit of this end."""
         job = self._cache.jobs.get(ended.job)
         if job is None or ended.outcome != AttemptOutcome.DONE or job.spec.kind != ARRAY:
             return True
@@ -74,7 +75,7 @@
             return True
         limits = self._cluster_view.team_limits.get(job.spec.team)
         usage = self._cache.usage.get(job.spec.team, TeamUsage())
-        if nearly_exhausted(limits, usage, _NEAR_LIMIT):
-            return True  # some job of the team may wait for this
+        if nearly_exhausted(limits, usage, _NEAR_LIMIT_SHARE):
+            return True  # another job of the team may need the quota
         record_full = len(job.live) >= self._planner.most_live(job.spec)
         return job.waiting > 0 and (record_full or not headroom(limits, usage).covers(job.spec))
--- a/src/sandladder/jobs/job_committer.py
+++ b/src/sandladder/jobs/job_committer.py
@@ -1,7 +1,7 @@
-"""Commits of what happens to jobs: proved ends and released starts, one change a job at a time.
+"""Commits of ended attempts and of starts, one change per job at a time.
 
-The store takes few changes.  So whatever waits to be committed of a job goes in one: the ends
-that are proved by then, and the starts that pass the gate by then.
+The store's write rate is limited, so all uncommitted ends of a job, and its starts that pass the
+gate, are combined into one change.
 """
 
 import logging
@@ -35,18 +35,17 @@
 
 log = logging.getLogger(__name__)
 
-# Puts and deletes that a job's change takes at most: its record, its team's and, in the first
-# schema, that of the finished job.
-_MOST_CHANGES = 3
+# Puts and deletes of a job's change: its record, its team's record and, in schema version 1, the
+# finished job's record.
+_MAX_OPERATIONS = 3
 
 
 class JobCommitter:
-    """Commits what happens to the jobs of the teams that are assigned to this controller.
+    """Commits the ends and starts of the jobs whose teams are assigned to this controller.
 
-    It owns the ends and starts that wait to be committed, and which jobs have a change under way:
-    one at a time each.  What comes in meanwhile is committed with the next.  The routines that
-    await the commits run in the background; cancelled, they leave what waits to the records, from
-    which it is found again.
+    Each job has at most one change in flight; ends and starts that arrive in the meantime go into
+    the next one.  Background tasks await the commits.  If these are cancelled, the uncommitted ends
+    and starts are derived again from the records.
     """
 
     def __init__(
@@ -61,9 +60,23 @@
         archiver: JobArchiver,
         background: BackgroundTasks,
         plan_due: Signal,
-        wall: Callable[[], float],
+        wall_clock_s: Callable[[], float],
     ) -> None:
-        """`plan_due` is raised when planning may come to something new; `wall`: the time of day."""
+        """Create the committer.
+
+        Args:
+            workers: the agents' settings.
+            planner: provides the cluster view and the store's limits.
+            committer: commits the changes.
+            controller_lease: starts are committed only while it is valid.
+            membership: provides this controller's name and process.
+            peers: the other controllers, and the assignment of teams.
+            agent_service: sends commands after an end is committed.
+            archiver: archives finished jobs.
+            background: runs the tasks that await the commits.
+            plan_due: set when a new planning round may start more tasks.
+            wall_clock_s: returns the time of day in seconds.
+        """
         self._lease_s = workers.lease_s
         self._cluster_view = planner.cluster_view
         self._cache = planner.cluster_view.cache
@@ -76,7 +89,7 @@
         self._archiver = archiver
         self._background = background
         self._plan_due = plan_due
-        self._wall = wall
+        self._wall_clock_s = wall_clock_s
         max_wait_s = workers.lease_s / 3
         self._announcer = EndAnnouncer(
             membership.node, planner.cluster_view, peers, plan_due, max_wait_s, self._enqueue_end
@@ -84,106 +97,113 @@
         self._ends = EndQueue(planner, max_wait_s)
         self._starts = StartQueue(planner.cluster_view)
         self._backoff = JobBackoff(planner, workers)
-        # By job, the starts that were added to its change when that was last evaluated.
+        # By job ID, the starts in its change as of the change's last evaluation.
         self._released: dict[str, list[PendingStart]] = {}
-        self._under_way: set[str] = set()
-        self._forget_at = 0.0
+        self._in_flight: set[str] = set()
+        self._next_forget_at = 0.0
 
     @property
     def backing_off(self) -> dict[str, float]:
-        """By job that backs off, until when, on the steady clock in seconds."""
-        return self._backoff.until
+        """By ID of a job in backoff, the earliest next planning, on the steady clock in seconds."""
+        return self._backoff.not_before
 
     @property
     def proved_ends(self) -> Mapping[AttemptKey, ProvedEnd]:
-        """The ends that were proved here of late."""
+        """The ends that this controller proved recently."""
         return self._announcer.proved
 
     def collect_ends(self, ends: Iterable[EndedAttempt]) -> None:
-        """Take in ends that were proved here: what they leave is free at once.
+        """Process ends that this controller has proved.
 
-        The controllers to which the jobs' teams are assigned commit them.
+        The capacity is released at once; the controllers to which the jobs' teams are assigned
+        commit the ends.
         """
         self._announcer.collect_ends(ends)
 
     def handle_peer_end(self, ended: EndedAttempt) -> None:
-        """Take in an end that a peer has proved."""
-        self._announcer.receive(ended)
+        """Process an end that a peer has proved."""
+        self._announcer.handle_peer_end(ended)
 
     def commit_starts(self, pending_starts: Iterable[PendingStart]) -> None:
-        """Have pending starts committed if they pass the gate by then."""
+        """Queue pending starts for commit, subject to their revalidation by the gate."""
         for job_id in self._starts.add(pending_starts):
             self._commit(job_id)
 
     def sweep(self) -> None:
-        """Commit what has waited long enough, archive, and forget what is over."""
+        """Commit the ends that are due, archive finished jobs and drop expired entries."""
         now = clock.now()
         for job_id in self._ends.due_jobs(now):
             self._commit(job_id)
         self._archiver.archive_when_idle()
-        if now >= self._forget_at:
-            # Seldom: each time goes through all that ended in some leases.
-            self._forget_at = now + self._lease_s
+        if now >= self._next_forget_at:
+            # Done once per lease, as it scans all recent ends.
+            self._next_forget_at = now + self._lease_s
             self._announcer.forget(now, 4 * self._lease_s)
         self._backoff.forget_expired(now)
 
-    # The change of a job
+    # Changes of jobs
 
     def _enqueue_end(self, ended: EndedAttempt) -> None:
         if self._ends.add(ended, clock.now()):
             self._commit(ended.job)
 
     def _commit(self, job_id: str) -> None:
-        """Have a job's change committed, unless one is under way."""
-        if job_id in self._under_way:
+        """Queue a job's change for commit unless one is in flight."""
+        if job_id in self._in_flight:
             return
-        self._under_way.add(job_id)
+        self._in_flight.add(job_id)
         change = PendingChange(
             f"ends and starts of {job_id}",
             self._priority(job_id),
-            _MOST_CHANGES,
+            _MAX_OPERATIONS,
             lambda transaction: self._apply(transaction, job_id),
-            added_operations=lambda transaction: self._count_changes(transaction, job_id),
-            on_commit=lambda: self._committed(job_id),
+            added_operations=lambda transaction: self._count_operations(transaction, job_id),
+            on_commit=lambda: self._handle_commit(job_id),
         )
         self._committer.add(change)
-        self._background.start_soon(self._finish, change, job_id)
+        self._background.start_soon(self._await_commit, change, job_id)
 
     def _priority(self, job_id: str) -> float:
-        """More urgent jobs first; first starts of urgent jobs don't wait for the write budget."""
+        """Return the commit priority of a job's change.
+
+        First starts of urgent jobs and ends that unblock dependents bypass the write budget.
+        """
         job = self._cache.jobs.get(job_id)
         if job is None:
             return PRIORITY_JOB
         priority = self._cluster_view.scheduling_priority(job).priority
-        untouched = not job.live and not job.done.count
-        if untouched and priority >= HIGH and job_id in self._starts:
+        never_started = not job.live and not job.done.count
+        if never_started and priority >= HIGH and job_id in self._starts:
             return PRIORITY_URGENT_START
         if self._teams_unblocked_by(job_id):
             return PRIORITY_URGENT_START
         return job_priority(priority)
 
     def _teams_unblocked_by(self, job_id: str) -> list[str]:
-        """The teams of a job's dependents, when its last ends are to be committed."""
+        """Return the teams of a job's dependents if its last ends are queued, else none."""
         job = self._cache.jobs.get(job_id)
-        if job is None or job.waiting or not self._ends.end_all(job):
+        if job is None or job.waiting or not self._ends.covers_all_live(job):
             return []
         dependents = self._cache.dependency_index.dependents(job_id)
         return [dependent.spec.team for dependent in dependents]
 
-    def _count_changes(self, transaction: Transaction, job_id: str) -> int:
-        """How many puts and deletes a job's change adds: its team's record is often in already."""
+    def _count_operations(self, transaction: Transaction, job_id: str) -> int:
+        """Return the number of puts and deletes that a job's change adds to a transaction.
+
+        The team's record counts only if the transaction does not contain it.
+        """
         job = self._cache.jobs.get(job_id)
         if job is None:
             return 0
         if not transaction.is_schema_v1:
             return 1
-        return 1 + (job.spec.team not in transaction.teams) + self._ends.end_all(job)
+        return 1 + (job.spec.team not in transaction.teams) + self._ends.covers_all_live(job)
 
     def _apply(self, transaction: Transaction, job_id: str) -> bool:
-        """Add a job's ends, and its starts that pass the gate, to a transaction."""
+        """Add a job's ends and its starts that pass the gate to a transaction."""
         self._cluster_view.now = clock.now()
         self._released[job_id] = []
-        changed = end(transaction, self._ends.of(job_id), self._wall())
+        changed = end(transaction, self._ends.queued_ends(job_id), self._wall_clock_s())
         passed = self._starts.release(job_id)
         job = self._cache.jobs.get(job_id)
         if not passed or job is None or not self._controller_lease.alive():
@@ -191,18 +211,18 @@
         return self._apply_starts(transaction, job, passed) or changed
 
     def _apply_starts(self, transaction: Transaction, job: Job, passed: list[PendingStart]) -> bool:
-        """Add starts that passed the gate; those that are refused are withdrawn."""
-        most_dependencies = self._limits.conditions // 2
-        if len(job.dependencies) > most_dependencies:
-            # More than a commit can be bound to: some are recorded ahead of the start.
+        """Add starts that passed the gate, or withdraw them if the rules forbid them."""
+        max_dependencies = self._limits.conditions // 2
+        if len(job.dependencies) > max_dependencies:
+            # Too many conditions for one transaction: record some dependencies before the start.
             self._starts.withdraw(passed)
-            return record_done_dependencies(transaction, job.id, most_dependencies)
+            return record_done_dependencies(transaction, job.id, max_dependencies)
         placements = [pending_start.placement for pending_start in passed]
         limits = self._cluster_view.team_limits.get(job.spec.team)
         try:
             start(transaction, job.id, placements, limits, self._membership.own)
         except PreconditionFailedError as refusal:
-            log.debug("starts of %s: %s", job.id, refusal)
+            log.debug("starts of job %s refused: %s", job.id, refusal)
             self._starts.withdraw(passed)
             return False
         self._released[job.id] = passed
@@ -210,47 +230,47 @@
             pending_start.commit_in_flight = True
         return True
 
-    def _committed(self, job_id: str) -> None:
-        """Withdraw what was committed, and notify who is to act on it.
+    def _handle_commit(self, job_id: str) -> None:
+        """Withdraw the committed starts from the gate and notify the controllers concerned.
 
-        It is called before the commit shows in the cache: what has started is pending no more, so
-        its own commit must not be held against it.
+        Called before the cache contains the commit, which itself invalidates the premises of these
+        starts.
         """
         released = self._released.get(job_id, [])
         self._starts.withdraw(released)
-        concerned = {pending_start.reporting_controller for pending_start in released}
-        # The assignees of the job's dependents should know of its end at once.
-        concerned |= {self._peers.assignee(team) for team in self._teams_unblocked_by(job_id)}
-        self._peers.notify(concerned)
+        controllers = {pending_start.reporting_controller for pending_start in released}
+        # The assignees of the job's dependents may now start them.
+        controllers |= {self._peers.assignee(team) for team in self._teams_unblocked_by(job_id)}
+        self._peers.notify(controllers)
 
-    async def _finish(self, change: PendingChange, job_id: str) -> None:
-        """Await a job's change, and have what came in meanwhile committed with the next."""
+    async def _await_commit(self, change: PendingChange, job_id: str) -> None:
+        """Await a job's change, then queue the ends and starts that arrived in the meantime."""
         try:
             await change.wait()
         except PreconditionFailedError as refusal:
-            log.error("the change %s was refused: %s", change.name, refusal)
-        self._under_way.discard(job_id)
+            log.error("change refused: %s: %s", change.name, refusal)
+        self._in_flight.discard(job_id)
         released = self._released.pop(job_id, [])
         job = self._cache.jobs.get(job_id)
         if released and change.error is None and job is not None:
-            _log_starts(self._cluster_view, job, released, self._wall())
-        left = self._starts.pop(job_id, committed=released)
+            _log_starts(self._cluster_view, job, released, self._wall_clock_s())
+        remaining = self._starts.pop(job_id, committed=released)
         for ended in self._ends.pop(job_id):
-            self._finish_end(ended)
+            self._process_end(ended)
         if change.error is not None or not released:
-            # Nothing of it could be released: asking again at once could go on for ever
-            # (seen in the simulation).  The next round of planning takes it up.
-            self._starts.withdraw(left)
-        elif left:
-            self.commit_starts(left)
+            # No start was committed: an immediate retry could loop indefinitely.  The next planning
+            # round places the tasks again.
+            self._starts.withdraw(remaining)
+        elif remaining:
+            self.commit_starts(remaining)
         self._plan_due.set()
 
-    def _finish_end(self, ended: EndedAttempt) -> None:
-        """See to what follows from an end, and to its commit if that has not been made."""
-        self._backoff.note(ended)
+    def _process_end(self, ended: EndedAttempt) -> None:
+        """Update the backoff, send the agent its commands, and requeue an uncommitted end."""
+        self._backoff.record_end(ended)
         job = self._cache.jobs.get(ended.job)
         if job is not None and same_attempt(job.live.get(ended.task), ended.attempt):
-            self._enqueue_end(ended)  # it came while the others were being committed
+            self._enqueue_end(ended)  # arrived while the change was in flight
         agent = self._cluster_view.reconciler.agents.get(ended.attempt.machine)
         if agent is not None:
             self._agent_service.send_commands(agent)
@@ -259,16 +279,19 @@
 def _log_starts(
     cluster_view: ClusterView, job: Job, started: list[PendingStart], time_of_day: float
 ) -> None:
-    """Log how long committed starts waited, and how long they still wait for their images."""
-    waits_s = [cluster_view.fetch_wait_s(i.spec, i.placement) for i in started]
+    """Log how long committed starts waited, and the remaining wait for their images."""
+    image_waits_s = [
+        cluster_view.fetch_wait_s(pending_start.spec, pending_start.placement)
+        for pending_start in started
+    ]
     log.info(
-        "starts of %s (%s): %d tasks after %.1f s, images in %.1f s, %d without a fetch, "
-        "at revision %d",
+        "job %s (%s): started %d tasks after waiting %.1f s, images ready in %.1f s, "
+        "%d without an image fetch, at revision %d",
         job.id,
         job.spec.job_class,
         len(started),
         time_of_day - cluster_view.waiting_since(job),
-        max(waits_s),
-        sum(wait_s <= 0 for wait_s in waits_s),
+        max(image_waits_s),
+        sum(wait_s <= 0 for wait_s in image_waits_s),
         cluster_view.cache.version(JOB_PREFIX + job.id),
     )
--- a/src/sandladder/jobs/start_queue.py
+++ b/src/sandladder/jobs/start_queue.py
@@ -1,4 +1,4 @@
-"""Pending starts that wait for the gate."""
+"""Queue of pending starts that wait for their commit."""
 
 import logging
 from collections.abc import Iterable
@@ -9,10 +9,10 @@
 
 
 class StartQueue:
-    """The pending starts of each job that are to be committed if they pass the gate by then.
+    """The pending starts of each job, revalidated by the gate before their commit.
 
-    The gate owns which starts are pending; one that it withdrew in the meantime is passed over.
-    Pure: no I/O, no clock.
+    The gate holds the set of pending starts; a queued start that was withdrawn from it is skipped.
+    Performs no I/O and reads no clock.
     """
 
     def __init__(self, cluster_view: ClusterView) -> None:
@@ -24,17 +24,17 @@
         return job_id in self._starts
 
     def add(self, pending_starts: Iterable[PendingStart]) -> list[str]:
-        """Add pending starts; their jobs, each once."""
-        jobs: dict[str, None] = {}
+        """Add pending starts and return the IDs of their jobs without duplicates."""
+        job_ids: dict[str, None] = {}
         for pending_start in pending_starts:
             self._starts.setdefault(pending_start.spec.id, []).append(pending_start)
-            jobs[pending_start.spec.id] = None
-        return list(jobs)
+            job_ids[pending_start.spec.id] = None
+        return list(job_ids)
 
     def release(self, job_id: str) -> list[PendingStart]:
-        """Check the starts of a job at the gate; those whose premises still hold.
+        """Revalidate the starts of a job at the gate and return those whose premises hold.
 
-        They stay in the queue, as their commit may yet fail; the others are dropped.
+        These stay in the queue, as their commit may fail; the others are dropped.
         """
         passed = []
         for pending_start in self._starts.get(job_id, ()):
@@ -46,26 +46,29 @@
                 passed.append(pending_start)
             else:
                 log.debug(
-                    "%s %s: %s", verdict.outcome.name, pending_start.key, verdict.failed_premise
+                    "gate verdict %s for start %s: %s",
+                    verdict.outcome.name,
+                    pending_start.key,
+                    verdict.failed_premise,
                 )
         self._starts[job_id] = passed
         return list(passed)
 
     def pop(self, job_id: str, committed: Iterable[PendingStart]) -> list[PendingStart]:
-        """Take out the starts of a job; those that are still pending and were not committed."""
-        done = {id(pending_start) for pending_start in committed}
+        """Remove the starts of a job and return those still pending and not in `committed`."""
+        committed_ids = {id(pending_start) for pending_start in committed}
         return [
             pending_start
             for pending_start in self._starts.pop(job_id, [])
-            if id(pending_start) not in done and self._is_pending(pending_start)
+            if id(pending_start) not in committed_ids and self._is_pending(pending_start)
         ]
 
     def withdraw(self, pending_starts: Iterable[PendingStart]) -> None:
-        """Withdraw from the gate those of these starts that are still pending."""
+        """Withdraw these starts from the gate, except those that are no longer pending."""
         for pending_start in pending_starts:
             if self._is_pending(pending_start):
                 self._gate.withdraw(pending_start)
 
     def _is_pending(self, pending_start: PendingStart) -> bool:
-        """Whether the gate has just this start pending, and not a later one of the same task."""
+        """Return whether this start is pending at the gate, and not a later one of its task."""
         return self._gate.pending.get(pending_start.key) is pending_start
--- a/src/sandladder/jobs/transitions.py
+++ b/src/sandladder/jobs/transitions.py
@@ -1,9 +1,9 @@
-"""The transitions that a job may undergo: submission, cancellation, stops, ends, archiving.
+"""State transitions of jobs: submission, cancellation, stops, ends and archiving.
 
-Starts have a module of their own, `starts`.  A transition is evaluated on a `Transaction`, which
-notes every version it relied on, so that the commit is bound to exactly what was checked.  What
-does not hold raises `PreconditionFailedError`; nothing that would be written has been changed by
-then.  Pure: no I/O, no clock.
+The module `starts` contains the starts.  A transition is applied to a `Transaction`, which records
+the version of each record that was read, so that the commit fails if one has changed.  A transition
+that is not allowed raises `PreconditionFailedError` before it changes the transaction.  Performs no
+I/O and reads no clock.
 """
 
 from collections.abc import Iterable
@@ -36,10 +36,10 @@
 
 
 class SubmittedDependencies(NamedTuple):
-    """The dependencies of a submission that are not known to be done."""
+    """The state of a submitted job's dependencies."""
 
-    live: tuple[str, ...] = ()
-    any_cancelled: bool = False
+    live: tuple[str, ...] = ()  # IDs of the dependencies that are not finished
+    any_cancelled: bool = False  # whether any dependency, live or finished, is cancelled
 
 
 def submit(
@@ -48,28 +48,28 @@
     now: float,
     dependencies: SubmittedDependencies | None = None,
 ) -> None:
-    """Accept a job.
+    """Add a new job to a transaction.
 
     Args:
-        transaction: where it is added.
-        spec: what the user asked for.
+        transaction: the transaction to add the job to.
+        spec: the job's specification.
         now: the time of day, in seconds.
-        dependencies: what it depends on; a job with a cancelled dependency is cancelled at once.
+        dependencies: the state of its dependencies; if any is cancelled, so is the job.
 
     Raises:
-        PreconditionFailedError: the job is known already, or not all controllers would understand
-            its dependencies.
+        PreconditionFailedError: the job exists already, or the schema version does not support
+            dependencies.
     """
     if (
         spec.id in transaction.jobs
         or spec.id in transaction.cache.jobs
         or transaction.cache.finished_job(spec.id)
     ):
-        raise PreconditionFailedError("known")
+        raise PreconditionFailedError("the job exists already")
     dependencies = dependencies or SubmittedDependencies()
     if transaction.is_schema_v1 and dependencies.live:
-        # The version before would drop the names with its next writing, and start the job.
-        raise PreconditionFailedError("not all controllers understand dependencies")
+        # A controller of the previous version would drop the dependencies and start the job early.
+        raise PreconditionFailedError("not all controllers support dependencies")
     job = Job(spec, now, dependencies.live)
     transaction.create(job)
     if dependencies.any_cancelled:
@@ -79,14 +79,14 @@
 def rejection(
     spec: JobSpec, types: dict[str, MachineType], limits: dict[str, TeamLimits]
 ) -> str | None:
-    """Why a job can never run, as text for its user; None when it can.
+    """Return why a job can never run, as a text for its user, or None if it can run.
 
-    `types` and `limits`: the machine types and the teams' limits, by name.
+    `types` and `limits` are the machine types and the teams' limits, by name.
     """
     team = limits.get(spec.team)
     if team is None:
         return "unknown team"
-    if not any(kind.fits(spec) for kind in types.values()):
+    if not any(machine_type.fits(spec) for machine_type in types.values()):
         return "a task fits no allowed machine type"
     tasks_at_once = 1 if spec.kind == ARRAY else spec.tasks
     if not headroom(team, TeamUsage()).covers(spec, tasks_at_once):
@@ -95,40 +95,40 @@
 
 
 def cancel(transaction: Transaction, job_id: str, now: float) -> None:
-    """Cancel a live job: nothing of it starts any more, and what runs is stopped.
+    """Cancel a live job: its waiting tasks never start, and its running tasks are stopped.
 
-    `now`: the time of day, in seconds.
+    `now` is the time of day, in seconds.
 
     Raises:
-        PreconditionFailedError: the job is not live, or is cancelled already.
+        PreconditionFailedError: the job is not live or is already cancelled.
     """
     job = transaction.job(job_id)
     if job is None:
-        raise PreconditionFailedError("not live")
+        raise PreconditionFailedError("the job is not live")
     if job.cancelled:
-        raise PreconditionFailedError("cancelled already")
+        raise PreconditionFailedError("the job is already cancelled")
     job.cancelled = True
     if not job.live:
         transaction.finish(job, CANCELLED, now)
 
 
 def end(transaction: Transaction, ended: Iterable[EndedAttempt], now: float) -> bool:
-    """Record proved ends, and that their jobs are over where nothing is left to do.
+    """Remove ended attempts from their jobs, and finish the jobs that are complete.
 
-    `now`: the time of day, in seconds.
+    `now` is the time of day, in seconds.
 
     Returns:
-        False when all of them had been recorded before.
+        Whether any end was recorded; False if all were recorded before.
     """
     changed = False
-    for item in ended:
-        if not _is_live(transaction, item):
+    for ended_attempt in ended:
+        if not _is_live(transaction, ended_attempt):
             continue
-        job = transaction.job(item.job)
+        job = transaction.job(ended_attempt.job)
         if job is None:
-            continue  # its record cannot be read now
+            continue  # its record is unreadable
         changed = True
-        _end_attempt(transaction, job, item)
+        _end_attempt(transaction, job, ended_attempt)
         if job.live:
             continue
         if job.cancelled:
@@ -139,7 +139,7 @@
 
 
 def _is_live(transaction: Transaction, ended: EndedAttempt) -> bool:
-    """Whether the records show this attempt as live; read without relying on their versions."""
+    """Return whether an attempt is live, without adding its record's version to the conditions."""
     if ended.job in transaction.jobs:
         job = transaction.jobs[ended.job]
     else:
@@ -148,7 +148,7 @@
 
 
 def _end_attempt(transaction: Transaction, job: Job, ended: EndedAttempt) -> None:
-    """Take an attempt out of its job, and count what it came to."""
+    """Remove an attempt from its job and count its outcome."""
     del job.live[ended.task]
     transaction.change_usage(job, -1)
     if ended.outcome == AttemptOutcome.DONE and job.spec.kind != SERVICE:
@@ -157,35 +157,35 @@
     elif ended.outcome in FAILURES:
         job.errors += 1
     if job.spec.kind == GANG and ended.outcome != AttemptOutcome.DONE:
-        # A gang that lost a task is stopped and planned again as a whole.
+        # A gang that lost a task is stopped and rescheduled as a whole.
         for task, attempt in job.live.items():
             if attempt.stop is None:
                 job.live[task] = attempt._replace(stop=0.0)
 
 
 def same_attempt(live: Attempt | None, other: Attempt) -> bool:
-    """Whether two are the same attempt; it may have been marked to be stopped in between."""
+    """Return whether two attempts are the same, regardless of a stop requested for either."""
     return live is not None and live[:4] == other[:4]
 
 
 def stop(transaction: Transaction, job_id: str, tasks: Iterable[int], grace_s: float) -> bool:
-    """Mark attempts to be stopped; a gang is stopped as a whole.
+    """Mark the live attempts of tasks to be stopped, or of the whole job if it is a gang.
 
     Args:
-        transaction: where they are marked.
-        job_id: their job.
-        tasks: their tasks; those that are not live are passed over.
-        grace_s: for how long they may go on to save a checkpoint, in seconds.
+        transaction: the transaction to add the change to.
+        job_id: the job's ID.
+        tasks: the task numbers; tasks that are not live are ignored.
+        grace_s: how long an attempt may continue to save a checkpoint, in seconds.
 
     Returns:
-        False when all of them were to be stopped as soon as that already.
+        Whether any attempt was changed; False if none has to stop earlier than before.
     """
     job = transaction.job(job_id)
     if job is None or job.cancelled:
         return False
-    chosen = list(job.live) if job.spec.kind == GANG else [t for t in tasks if t in job.live]
+    selected = list(job.live) if job.spec.kind == GANG else [t for t in tasks if t in job.live]
     changed = False
-    for task in chosen:
+    for task in selected:
         attempt = job.live[task]
         if attempt.stop is None or grace_s < attempt.stop:
             job.live[task] = attempt._replace(stop=grace_s)
@@ -194,16 +194,19 @@
 
 
 def archive_job(transaction: Transaction, job_id: str) -> bool:
-    """Move a finished job's record from among the live jobs to the finished ones.
+    """Move the record of a finished job from the prefix of live jobs to that of finished jobs.
 
     Returns:
-        False when it has been moved before, or older controllers would not find it there.
+        Whether the record was moved; False if it was moved before, or if older controllers would
+        not find it there.
     """
-    final = transaction.cache.unarchived.get(job_id)
-    if final is None or transaction.is_schema_v1:
+    finished_job = transaction.cache.unarchived.get(job_id)
+    if finished_job is None or transaction.is_schema_v1:
         return False
-    transaction.put(JOB_PREFIX + job_id, None, final.version)
+    transaction.put(JOB_PREFIX + job_id, None, finished_job.version)
     transaction.put(
-        FINISHED_JOB_PREFIX + job_id, finished_job_value(final, transaction.cache.schema_version), 0
+        FINISHED_JOB_PREFIX + job_id,
+        finished_job_value(finished_job, transaction.cache.schema_version),
+        0,
     )
     return True
