--- a/src/sandladder/controller/services.py
+++ b/src/sandladder/controller/services.py
@@ -479,7 +479,7 @@
         self.triggers.due.set()
 
     def _ends_proved(self, ends: Iterable[EndedAttempt]) -> None:
-        self.job_committer.collect_ends(ends)
+        self.job_committer.record_ended_attempts(ends)
 
     def _peer_proved_end(self, ended: EndedAttempt) -> None:
         self.job_committer.handle_peer_end(ended)
--- a/src/sandladder/jobs/end_announcer.py
+++ b/src/sandladder/jobs/end_announcer.py
@@ -66,7 +66,7 @@
         """The ends that this controller proved recently."""
         return self._proved
 
-    def collect_ends(self, ends: Iterable[EndedAttempt]) -> None:
+    def record_ended_attempts(self, ends: Iterable[EndedAttempt]) -> None:
         """Process ends that this controller has proved, including repeated ones."""
         now = clock.now()
         first_proved: list[peer_transport.EndedTask] = []
--- a/src/sandladder/jobs/job_committer.py
+++ b/src/sandladder/jobs/job_committer.py
@@ -112,13 +112,13 @@
         """The ends that this controller proved recently."""
         return self._announcer.proved
 
-    def collect_ends(self, ends: Iterable[EndedAttempt]) -> None:
+    def record_ended_attempts(self, ends: Iterable[EndedAttempt]) -> None:
         """Process ends that this controller has proved.
 
         The capacity is released at once; the controllers to which the jobs' teams are assigned
         commit the ends.
         """
-        self._announcer.collect_ends(ends)
+        self._announcer.record_ended_attempts(ends)
 
     def handle_peer_end(self, ended: EndedAttempt) -> None:
         """Process an end that a peer has proved."""
--- a/tests/test_job_commits.py
+++ b/tests/test_job_commits.py
@@ -188,7 +188,7 @@
     scenario = AnnouncerScenario(monkeypatch, "node-1")
     before = free_cpus(scenario.cluster_view)
     for _ in range(3):
-        scenario.announcer.collect_ends([ended(scenario.job, 0), ended(scenario.job, 1)])
+        scenario.announcer.record_ended_attempts([ended(scenario.job, 0), ended(scenario.job, 1)])
     assert free_cpus(scenario.cluster_view) == pytest.approx(before + 0.2)
     assert scenario.peers.sent_counts() == [1, 1] and scenario.committed == []
 
@@ -197,18 +197,18 @@
     scenario = AnnouncerScenario(monkeypatch, "node-1")
     for assignee in ("node-1", "node-2", "node-2"):
         scenario.peers.assigned_to = assignee
-        scenario.announcer.collect_ends([ended(scenario.job, 0)])
+        scenario.announcer.record_ended_attempts([ended(scenario.job, 0)])
     assert scenario.peers.sent_counts() == [1, 2]
 
 
 def test_an_end_that_its_assignee_does_not_commit_in_time_is_committed_locally(monkeypatch) -> None:
     scenario = AnnouncerScenario(monkeypatch, "node-1")
-    scenario.announcer.collect_ends([ended(scenario.job, 0)])
+    scenario.announcer.record_ended_attempts([ended(scenario.job, 0)])
     scenario.now += 3 * MAX_WAIT_S
-    scenario.announcer.collect_ends([ended(scenario.job, 0)])
+    scenario.announcer.record_ended_attempts([ended(scenario.job, 0)])
     assert scenario.committed == []
     scenario.now += 0.1
-    scenario.announcer.collect_ends([ended(scenario.job, 0)])
+    scenario.announcer.record_ended_attempts([ended(scenario.job, 0)])
     assert scenario.committed == [0]
 
 
@@ -225,7 +225,7 @@
 
 def test_ends_are_forgotten_at_the_maximum_age(monkeypatch) -> None:
     scenario = AnnouncerScenario(monkeypatch, "node-0")
-    scenario.announcer.collect_ends([ended(scenario.job, 0)])
+    scenario.announcer.record_ended_attempts([ended(scenario.job, 0)])
     scenario.announcer.forget(now=57.9, max_age_s=48.0)
     assert len(scenario.announcer.proved) == 1
     scenario.announcer.forget(now=58.0, max_age_s=48.0)
