--- a/src/sandladder/api/admission.py
+++ b/src/sandladder/api/admission.py
@@ -8,7 +8,7 @@
 from sandladder.api.dependency_check import DependencyCheck
 from sandladder.api.job_lookup import JobLookup
 from sandladder.config import TeamLimits
-from sandladder.jobs import SubmittedDependencies, rejection
+from sandladder.jobs import SubmittedDependencies, rejection_reason
 from sandladder.model import GANG, SCHEMA_V1, Job, JobSpec
 from sandladder.protocol.job_messages import Submission
 from sandladder.state import StateCache, StoreLimits, job_value, split_value
@@ -44,7 +44,7 @@
         if not self._cache.machine_types:
             return RetryLater("the machine types are not known yet")
         spec, names = submission
-        reason = rejection(spec, self._cache.machine_types, self._team_limits)
+        reason = rejection_reason(spec, self._cache.machine_types, self._team_limits)
         if reason is not None:
             return NeverRunnable(reason)
         dependencies = SubmittedDependencies()
--- a/src/sandladder/jobs/__init__.py
+++ b/src/sandladder/jobs/__init__.py
@@ -20,7 +20,7 @@
     archive_job,
     cancel,
     end,
-    rejection,
+    rejection_reason,
     stop,
     submit,
 )
@@ -34,7 +34,7 @@
     "archive_job",
     "cancel",
     "end",
-    "rejection",
+    "rejection_reason",
     "start",
     "stop",
     "submit",
--- a/src/sandladder/jobs/transitions.py
+++ b/src/sandladder/jobs/transitions.py
@@ -76,7 +76,7 @@
         transaction.finish(job, CANCELLED, now)
 
 
-def rejection(
+def rejection_reason(
     spec: JobSpec, types: dict[str, MachineType], limits: dict[str, TeamLimits]
 ) -> str | None:
     """Return why a job can never run, as a text for its user, or None if it can run.
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -8,7 +8,7 @@
 import production
 from helpers import commit, scene, spec
 from sandladder.config import TeamLimits
-from sandladder.jobs import rejection, start, submit
+from sandladder.jobs import rejection_reason, start, submit
 from sandladder.model import NO_HEADROOM, Placement, TeamUsage, headroom, within_guarantee
 from sandladder.state import PreconditionFailedError, Transaction
 from simulation import TODAY, SimulatedCluster, job
@@ -70,8 +70,8 @@
     _, _, cache, _ = scene()
     known = {"red": limits}
     small = spec(1, entries=2, vcpus=2.0)
-    assert rejection(small, cache.machine_types, known) is None
-    assert rejection(spec(2, bureau="green"), cache.machine_types, known) == "unknown team"
+    assert rejection_reason(small, cache.machine_types, known) is None
+    assert rejection_reason(spec(2, bureau="green"), cache.machine_types, known) == "unknown team"
     transaction = Transaction(cache)
     submit(transaction, small, 0.0)
     commit(cache, transaction)
