--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -1,4 +1,4 @@
-"""Dependencies between jobs: the index, the premise, and simulations under faults."""
+"""Dependencies between jobs: index, start premises, submission, and simulations under faults."""
 
 from random import Random
 
@@ -33,32 +33,32 @@
 )
 from simulation.workloads import pipeline, submit_in_order, wait_until_healthy
 
-ME = TeamAssignment("node-0", 1)
+OWN_ASSIGNMENT = TeamAssignment("node-0", 1)
 
 
-def use_second_schema(cache: StateCache) -> None:
-    """Records of the second schema, with the teams assigned to this controller."""
+def use_schema_v2(cache: StateCache) -> None:
+    """Switch to schema version 2, with both teams assigned to this controller."""
     cache.schema_version = SCHEMA_V2
     cache.apply(1, [(f"s/t/{team}", {"p": "node-0", "n": 1}, 1) for team in ("red", "blue")])
 
 
-def add(cache: StateCache, number: int, *dependencies: str, **fields: object) -> Job:
+def submit_job(cache: StateCache, number: int, *dependencies: str, **fields: object) -> Job:
     transaction = Transaction(cache)
     submit(transaction, spec(number, **fields), 10.0, SubmittedDependencies(dependencies))
     commit(cache, transaction)
     return cache.jobs[f"job-{number:06d}"]
 
 
-def start_all(cache: StateCache, found: Job) -> None:
+def start_waiting_tasks(cache: StateCache, job: Job) -> None:
     """Start all waiting tasks of a job."""
     transaction = Transaction(cache)
-    placements = [Placement(task, "vm-1", "north", 1) for task in found.pending()]
-    start(transaction, found.id, placements, LIMITS, ME)
+    placements = [Placement(task, "vm-1", "north", 1) for task in job.pending()]
+    start(transaction, job.id, placements, LIMITS, OWN_ASSIGNMENT)
     commit(cache, transaction)
 
 
-def end_all(cache: StateCache, job_id: str, at: float) -> None:
-    """End all started tasks of a job, at this time of day."""
+def end_live_tasks(cache: StateCache, job_id: str, at: float) -> None:
+    """End all live tasks of a job as done, at this time of day."""
     live = cache.jobs[job_id].live
     transaction = Transaction(cache)
     ended = [EndedAttempt(job_id, task, a, AttemptOutcome.DONE) for task, a in live.items()]
@@ -66,51 +66,51 @@
     commit(cache, transaction)
 
 
-def complete(cache: StateCache, found: Job, at: float) -> None:
+def complete(cache: StateCache, job: Job, at: float) -> None:
     """Start and end all tasks of a job, at this time of day."""
-    start_all(cache, found)
-    end_all(cache, found.id, at)
+    start_waiting_tasks(cache, job)
+    end_live_tasks(cache, job.id, at)
 
 
-def test_no_task_starts_before_all_dependencies_are_committed_as_done() -> None:
+def test_a_job_starts_only_after_all_its_dependencies_are_committed_as_done() -> None:
     cache = StateCache()
-    use_second_schema(cache)
-    one, two = add(cache, 1), add(cache, 2)
-    last = add(cache, 3, one.id, two.id)
+    use_schema_v2(cache)
+    one, two = submit_job(cache, 1), submit_job(cache, 2)
+    dependent = submit_job(cache, 3, one.id, two.id)
     dependency_index = cache.dependency_index
-    place = [Placement(0, "vm-1", "north", 1)]
+    placements = [Placement(0, "vm-1", "north", 1)]
     for awaited, at in ((one, 20.0), (two, 35.0)):
-        assert dependency_index.outcome(cache.jobs[last.id]) is DependencyOutcome.WAITING
+        assert dependency_index.outcome(cache.jobs[dependent.id]) is DependencyOutcome.WAITING
         with pytest.raises(PreconditionFailedError):
-            start(Transaction(cache), last.id, place, LIMITS, ME)
+            start(Transaction(cache), dependent.id, placements, LIMITS, OWN_ASSIGNMENT)
         complete(cache, awaited, at)
-    assert dependency_index.outcome(cache.jobs[last.id]) is DependencyOutcome.READY
+    assert dependency_index.outcome(cache.jobs[dependent.id]) is DependencyOutcome.READY
     transaction = Transaction(cache)
     assert archive_job(transaction, one.id) and transaction.size == 2
     commit(cache, transaction)
     assert cache.finished_jobs[one.id].archived and set(cache.unarchived) == {two.id}
-    assert dependency_index.ready_since(cache.jobs[last.id]) == 35.0
+    assert dependency_index.ready_since(cache.jobs[dependent.id]) == 35.0
     transaction = Transaction(cache)
-    start(transaction, last.id, place, LIMITS, ME)
-    # The commit is bound to what says that they are done, wherever that stands.
+    start(transaction, dependent.id, placements, LIMITS, OWN_ASSIGNMENT)
+    # The commit is conditional on the records of both outcomes, archived or not.
     assert {f"s/f/{one.id}", f"s/j/{two.id}"} <= transaction.expected_versions.keys()
     commit(cache, transaction)
-    started = read_job(cbor2.loads(cbor2.dumps(job_value(cache.jobs[last.id]))))
+    started = read_job(cbor2.loads(cbor2.dumps(job_value(cache.jobs[dependent.id]))))
     assert (
         started.dependencies == () and started.ready == 35.0 and not dependency_index.unresolved()
     )
 
 
 def test_a_dependency_of_unknown_outcome_blocks_its_dependents() -> None:
-    """After a restart a finished dependency is in no cache: it must be read first."""
+    """After a restart, a finished dependency is not cached and must be read from the store."""
     cluster_view, planner, cache, _ = scene()
-    use_second_schema(cache)
-    last = add(cache, 3, "job-000001", entries=1)
-    assert cache.dependency_index.outcome(last) is DependencyOutcome.UNKNOWN
+    use_schema_v2(cache)
+    dependent = submit_job(cache, 3, "job-000001", entries=1)
+    assert cache.dependency_index.outcome(dependent) is DependencyOutcome.UNKNOWN
     assert cache.dependency_index.unresolved() == ["job-000001"]
-    assert planner.plan([last], {}) == []
+    assert planner.plan([dependent], {}) == []
     cache.add_finished_job("job-000001", FinishedJob("done", 2, 21.0, 4))
-    pending_start = planner.plan([cache.jobs[last.id]], {})[0]
+    pending_start = planner.plan([cache.jobs[dependent.id]], {})[0]
     gate = cluster_view.gate
     assert gate.revalidate([("job", "job-000001")], cluster_view)[0].outcome is Outcome.KEEP
     cache.dependency_index._finished.clear()
@@ -122,23 +122,23 @@
 
 
 class RandomHistory:
-    """Jobs that are submitted, cancelled and completed at random, and what follows by definition."""
+    """Random submissions, cancellations and completions, with a reference model of the outcomes."""
 
     def __init__(self, seed: int) -> None:
         self.rng = Random(seed)
         self.cache = StateCache()
-        use_second_schema(self.cache)
-        self.dependencies: dict[str, list[str]] = {}  # by job, as submitted
+        use_schema_v2(self.cache)
+        self.dependencies: dict[str, list[str]] = {}  # by job ID, as submitted
 
     def final_state(self, job_id: str) -> str | None:
-        """How a job ended or is about to, apart from its dependencies; None while that is open."""
+        """Return the final state of a job regardless of its dependencies, or None if still open."""
         job = self.cache.jobs.get(job_id)
         if job is None:
             return self.cache.finished_jobs[job_id].state
         return "cancelled" if job.cancelled else None
 
     def must_be_cancelled(self, job_id: str) -> bool:
-        """Whether any direct or indirect dependency of a job is cancelled."""
+        """Return whether any direct or indirect dependency of a job is cancelled."""
         return any(
             self.final_state(name) == "cancelled" or self.must_be_cancelled(name)
             for name in self.dependencies[job_id]
@@ -150,17 +150,17 @@
         if self.rng.random() < 0.45 or not live:
             self._submit(now)
             return
-        chosen, action = self.rng.choice(live), self.rng.random()
-        may_start = not chosen.live and self.cache.dependency_index.ready(chosen)
-        if action < 0.2 and not chosen.cancelled:
-            self._cancel(chosen, now)
-        elif chosen.live:
-            # One that is cancelled ends here as well.
-            end_all(self.cache, chosen.id, now)
+        job, action = self.rng.choice(live), self.rng.random()
+        may_start = not job.live and self.cache.dependency_index.ready(job)
+        if action < 0.2 and not job.cancelled:
+            self._cancel(job, now)
+        elif job.live:
+            # Also ends the tasks of cancelled jobs.
+            end_live_tasks(self.cache, job.id, now)
         elif may_start and action < 0.5:
-            start_all(self.cache, chosen)
+            start_waiting_tasks(self.cache, job)
         elif may_start:
-            complete(self.cache, chosen, now)
+            complete(self.cache, job, now)
 
     def _cancel(self, job: Job, now: float) -> None:
         transaction = Transaction(self.cache)
@@ -169,8 +169,8 @@
 
     def _submit(self, now: float) -> None:
         number = len(self.dependencies)
-        known = list(self.dependencies)
-        names = self.rng.sample(known, min(number, self.rng.choice([0, 1, 1, 2, 3])))
+        job_ids = list(self.dependencies)
+        names = self.rng.sample(job_ids, min(number, self.rng.choice([0, 1, 1, 2, 3])))
         job_id = f"job-{number:06d}"
         self.dependencies[job_id] = names
         dependencies = SubmittedDependencies(
@@ -181,19 +181,19 @@
         submit(transaction, spec(number, entries=1), now, dependencies)
         commit(self.cache, transaction)
 
-    def cache_filled_now(self) -> StateCache:
-        """Another cache, which has just read the live jobs and what it misses of finished ones."""
-        other = StateCache()
+    def reloaded_cache(self) -> StateCache:
+        """Return a new cache with the live jobs and the finished jobs that these depend on."""
+        reloaded = StateCache()
         items = [(f"s/j/{job.id}", job_value(job), 1) for job in self.cache.jobs.values()]
         self.rng.shuffle(items)
-        other.reset(2, items)
-        for name in other.dependency_index.unresolved():
-            other.add_finished_job(name, self.cache.finished_jobs[name])
-        return other
+        reloaded.reset(2, items)
+        for name in reloaded.dependency_index.unresolved():
+            reloaded.add_finished_job(name, self.cache.finished_jobs[name])
+        return reloaded
 
 
-def test_the_index_agrees_with_the_definition_on_random_histories() -> None:
-    """To be cancelled if any dependency is, directly or not; ready if all are done."""
+def test_the_index_matches_the_reference_model_on_random_histories() -> None:
+    """A job is cancelled if any direct or indirect dependency is, and ready if all are done."""
     cancelled_while_running = 0
     for seed in range(60):
         history = RandomHistory(seed)
@@ -201,57 +201,57 @@
         for step in range(40):
             history.step(float(step))
             cancelled_while_running += any(job.cancelled for job in cache.jobs.values())
-            for job_id, found in cache.jobs.items():
-                outcome = cache.dependency_index.outcome(found)
+            for job_id, dependent in cache.jobs.items():
+                outcome = cache.dependency_index.outcome(dependent)
                 cancelled = history.must_be_cancelled(job_id)
                 assert (outcome is DependencyOutcome.CANCELLED) == cancelled, (seed, job_id)
                 if outcome is DependencyOutcome.READY:
                     names = history.dependencies[job_id]
                     assert all(history.final_state(name) == "done" for name in names)
-            other = history.cache_filled_now()
-            assert not other.dependency_index.unresolved()
-            for job_id, found in other.jobs.items():
+            reloaded = history.reloaded_cache()
+            assert not reloaded.dependency_index.unresolved()
+            for job_id, dependent in reloaded.jobs.items():
                 expected = cache.dependency_index.outcome(cache.jobs[job_id])
-                assert other.dependency_index.outcome(found) is expected, (seed, job_id)
+                assert reloaded.dependency_index.outcome(dependent) is expected, (seed, job_id)
     assert cancelled_while_running > 100
 
 
-def test_priority_and_due_time_are_inherited_from_live_dependents() -> None:
+def test_a_job_inherits_priority_and_due_time_from_its_live_dependents() -> None:
     cache = StateCache()
-    use_second_schema(cache)
-    first = add(cache, 1, rank="idle")
-    middle = add(cache, 2, first.id, rank="normal")
-    outlook = cache.dependency_index.scheduling_priority
-    assert outlook(first, lambda s: 5.0) == SchedulingPriority(1, float("inf"))
-    last = add(cache, 3, middle.id, rank="urgent", due_s=60.0)
-    assert outlook(first, lambda s: 5.0) == SchedulingPriority(2, 60.0)
-    assert outlook(middle, lambda s: 5.0) == SchedulingPriority(2, 65.0)
+    use_schema_v2(cache)
+    first = submit_job(cache, 1, rank="idle")
+    middle = submit_job(cache, 2, first.id, rank="normal")
+    scheduling_priority = cache.dependency_index.scheduling_priority
+    assert scheduling_priority(first, lambda s: 5.0) == SchedulingPriority(1, float("inf"))
+    last = submit_job(cache, 3, middle.id, rank="urgent", due_s=60.0)
+    assert scheduling_priority(first, lambda s: 5.0) == SchedulingPriority(2, 60.0)
+    assert scheduling_priority(middle, lambda s: 5.0) == SchedulingPriority(2, 65.0)
     transaction = Transaction(cache)
     cancel(transaction, last.id, 12.0)
     commit(cache, transaction)
-    assert outlook(first, lambda s: 5.0) == SchedulingPriority(1, float("inf"))
+    assert scheduling_priority(first, lambda s: 5.0) == SchedulingPriority(1, float("inf"))
 
 
-def test_a_cycle_in_the_records_is_survived() -> None:
-    """A job is accepted after those that it names, so none arises; a broken record may hold one."""
+def test_a_dependency_cycle_in_the_records_causes_no_infinite_recursion() -> None:
+    """Submissions cannot create a cycle, but a corrupt record can."""
     cache = StateCache()
-    use_second_schema(cache)
+    use_schema_v2(cache)
     for one, other in ((1, 2), (2, 1)):
         value = job_value(Job(spec(one), 0.0, (f"job-{other:06d}",)))
         cache.apply(cache.revision + 1, [(f"s/j/job-{one:06d}", value, cache.revision + 1)])
-    found = cache.jobs["job-000001"]
-    assert cache.dependency_index.outcome(found) is DependencyOutcome.WAITING
-    assert cache.dependency_index.scheduling_priority(found, lambda s: 1.0).priority == 1
-    assert cache.dependency_index.unresolved_dependencies(found) == []
+    job_in_cycle = cache.jobs["job-000001"]
+    assert cache.dependency_index.outcome(job_in_cycle) is DependencyOutcome.WAITING
+    assert cache.dependency_index.scheduling_priority(job_in_cycle, lambda s: 1.0).priority == 1
+    assert cache.dependency_index.unresolved_dependencies(job_in_cycle) == []
 
 
-def test_no_machine_is_scaled_out_for_jobs_whose_dependencies_are_unfinished() -> None:
+def test_jobs_with_unfinished_dependencies_cause_no_scale_out() -> None:
     from sandladder.autoscaling import ScalingPolicy
 
     cluster_view, planner, cache, _ = scene()
-    use_second_schema(cache)
+    use_schema_v2(cache)
     first = accept(cache, number=1, entries=1)
-    add(cache, 2, first.id, entries=40, rank="urgent")
+    submit_job(cache, 2, first.id, entries=40, rank="urgent")
     policy = ScalingPolicy(cluster_view)
     assert policy.scale_out_requests(1e6) == []
     assert {i.spec.id for i in planner.plan(list(cache.jobs.values()), {})} == {first.id}
@@ -267,7 +267,7 @@
             job_messages.parse_submission(cbor2.dumps(job(9, awaits=bad)))
 
 
-def test_submissions_with_dependencies_get_the_documented_answers() -> None:
+def test_submissions_with_dependencies_get_the_documented_responses() -> None:
     cluster = SimulatedCluster(71)
 
     async def main() -> None:
@@ -285,11 +285,11 @@
             answer = await cluster.ask("POST", "/work", job(2, awaits=awaits))
             assert answer.status == status and text in answer.body, answer
         assert await cluster.submit(job(2, awaits=["job-000001"], bureau="blue")) == 201
-        # A repeat gets the state of what was accepted, whatever it names.
+        # A repeated submission returns the accepted job's state, whatever its dependencies.
         answer = await cluster.ask("POST", "/work", job(2, awaits=["job-777777"]))
         assert answer.status == 200
         assert not await cluster.until_done(["job-000002"], 60.0)
-        # Jobs that are over may be named as well.
+        # Finished jobs are valid dependencies.
         assert await cluster.submit(job(3, awaits=["job-000001", "job-000002"])) == 201
         assert not await cluster.until_done(["job-000003"], 60.0)
         await cluster.submit(job(4, expect_s=300.0))
@@ -298,7 +298,7 @@
             assert await cluster.submit(job(number, awaits=awaits)) == 201
         body = await cluster.poll("job-000006")
         assert body is not None and body["standing"] == "cancelled"
-        # A cancellation that comes too late leaves the dependents alone.
+        # Cancelling a job that is already done does not affect its dependents.
         assert await cluster.cancel("job-000001") == "done"
         assert not await cluster.until_done(["job-000003"], 5.0)
 
@@ -307,7 +307,7 @@
 
 
 async def pipelines_under_fault(cluster: SimulatedCluster, fault: Fault) -> None:
-    """Pipelines arrive during a fault, some are cancelled; all the others must complete."""
+    """Submit pipelines during a fault, cancel some jobs, and check that all others complete."""
     await wait_until_healthy(cluster)
     lines = [pipeline(cluster, 100 * n) for n in range(1, 6)]
     cancelled = [line[cluster.rng.randrange(len(line) - 1)]["id"] for line in lines[:2]]
@@ -351,20 +351,20 @@
         (810, all_faults),
     ],
 )
-def test_dependencies_hold_under_faults(seed: int, fault: Fault) -> None:
+def test_dependency_invariants_hold_under_faults(seed: int, fault: Fault) -> None:
     play_pipelines(seed, fault)
 
 
-def play_pipelines(seed: int, trouble: Fault) -> None:
-    """Run pipelines under a fault, and check every invariant of the simulation."""
+def play_pipelines(seed: int, fault: Fault) -> None:
+    """Run pipelines under a fault and check every invariant of the simulation."""
     cluster = SimulatedCluster(seed)
-    run(cluster, lambda: pipelines_under_fault(cluster, trouble))
+    run(cluster, lambda: pipelines_under_fault(cluster, fault))
     assert cluster.violations == []
     assert cluster.store.too_large == 0
 
 
-def test_dependents_are_cancelled_after_a_crash_of_all_controllers() -> None:
-    """The cancellation was acknowledged, and every controller crashed before the next write."""
+def test_dependents_are_cancelled_after_all_controllers_crash() -> None:
+    """Every controller crashes after the cancellation was acknowledged, before the next write."""
     cluster = SimulatedCluster(81)
 
     async def main() -> None:
@@ -392,7 +392,7 @@
     assert cluster.violations == []
 
 
-def test_a_dependent_starts_within_two_seconds_of_the_last_end() -> None:
+def test_a_dependent_starts_within_two_seconds_of_its_dependencys_end() -> None:
     cluster = SimulatedCluster(82)
 
     async def main() -> None:
@@ -404,11 +404,11 @@
         await cluster.submit(job(4, entries=2, bureau="blue", awaits=["job-000003"]))
         while not cluster.is_done("job-000003"):
             await anyio.sleep(0.05)
-        ended = now()
+        ended_at = now()
         while not any(name.startswith("job-000004") for name in cluster.starts):
             await anyio.sleep(0.05)
-        # A heartbeat, two commits, a notice, a command, and half a second for the image.
-        assert now() - ended < 2.0
+        # Covers a heartbeat, two commits, a change notice, a command and a 0.5 s image fetch.
+        assert now() - ended_at < 2.0
 
     run(cluster, main)
     assert cluster.violations == []
--- a/tests/test_dependency_services.py
+++ b/tests/test_dependency_services.py
@@ -1,4 +1,4 @@
-"""How the outcomes of dependencies are read, and who cancels the dependents of cancelled jobs."""
+"""Reads of dependency outcomes, and cancellation of the dependents of cancelled jobs."""
 
 from typing import Any
 
@@ -30,7 +30,7 @@
 
 
 def cache_with_dependent() -> StateCache:
-    """The records of two live jobs, of which one depends on the other."""
+    """Return a cache with two live jobs, one of which depends on the other."""
     cache = StateCache()
     cache.schema_version = SCHEMA_V2
     accept(cache, number=1)
@@ -40,8 +40,8 @@
     return cache
 
 
-class Committer:
-    """Commits each change at once."""
+class FakeCommitter:
+    """Commits each change at once and records its name."""
 
     def __init__(self, cache: StateCache) -> None:
         self.cache = cache
@@ -56,38 +56,38 @@
         return change
 
 
-class Peers:
-    """Every team is assigned to node-0."""
+class FakePeers:
+    """Assigns every team to node-0."""
 
     def assignee(self, team: str) -> str:
         return "node-0"
 
 
-class Store:
-    """Keeps records of finished jobs, and counts the readings."""
+class FakeStore:
+    """Holds the records of finished jobs and logs the keys that are read."""
 
     def __init__(self) -> None:
         self.records: dict[str, tuple[Any, int]] = {}
         self.failing = False
-        self.read: list[str] = []
+        self.read_keys: list[str] = []
 
     async def get(self, key: str) -> tuple[Any, int] | None:
-        self.read.append(key)
+        self.read_keys.append(key)
         await anyio.sleep(0)
         if self.failing:
             raise StoreRequestError("no answer")
         return self.records.get(key)
 
 
-def resolver_of(store: Store, cache: StateCache) -> DependencyResolver:
-    """A resolver whose routine does not run, so that what only that uses is left out."""
+def make_resolver(store: FakeStore, cache: StateCache) -> DependencyResolver:
+    """Return a resolver without the collaborators that only its `run` loop uses."""
     unused: Any = None
     return DependencyResolver(WORKERS, store, cache, unused, unused, unused, Signal())
 
 
-@pytest.mark.parametrize(("node", "wait_s"), [("node-0", 0.0), ("node-1", 40.0 / 8)])
-def test_dependents_are_cancelled_by_the_assignee_at_once_and_by_others_when_it_is_late(
-    monkeypatch: pytest.MonkeyPatch, node: str, wait_s: float
+@pytest.mark.parametrize(("node", "timeout_s"), [("node-0", 0.0), ("node-1", 40.0 / 8)])
+def test_dependents_are_cancelled_at_once_by_the_assignee_and_after_a_timeout_by_others(
+    monkeypatch: pytest.MonkeyPatch, node: str, timeout_s: float
 ) -> None:
     times = [100.0]
     monkeypatch.setattr(clock, "now", lambda: times[0])
@@ -95,9 +95,9 @@
     transaction = Transaction(cache)
     cancel(transaction, FIRST, 5.0)
     commit(cache, transaction)
-    committer, background = Committer(cache), BackgroundTasks()
+    committer, background = FakeCommitter(cache), BackgroundTasks()
     canceller = DependentCanceller(
-        node, WORKERS, cache, committer, Peers(), background, lambda: 6.0
+        node, WORKERS, cache, committer, FakePeers(), background, lambda: 6.0
     )
 
     async def cancel_at(now: float) -> None:
@@ -107,31 +107,31 @@
             canceller.cancel_dependents()
 
     anyio.run(cancel_at, 100.0)
-    if wait_s:
-        anyio.run(cancel_at, 100.0 + wait_s)
+    if timeout_s:
+        anyio.run(cancel_at, 100.0 + timeout_s)
         assert committer.names == []
-        anyio.run(cancel_at, 100.1 + wait_s)
+        anyio.run(cancel_at, 100.1 + timeout_s)
     assert committer.names == [f"cancel {DEPENDENT}"]
     assert cache.finished_jobs[DEPENDENT] == FinishedJob("cancelled", 0, 6.0, 4, archived=False)
     anyio.run(cancel_at, 300.0)
     assert len(committer.names) == 1
 
 
-def test_the_outcome_of_a_finished_job_is_read_once_and_kept() -> None:
-    cache, store = StateCache(), Store()
+def test_the_outcome_of_a_finished_job_is_read_once_and_cached() -> None:
+    cache, store = StateCache(), FakeStore()
     final = FinishedJob("done", 2, 21.0)
     store.records[f"s/f/{FIRST}"] = finished_job_value(final, SCHEMA_V2), 7
-    resolver = resolver_of(store, cache)
+    resolver = make_resolver(store, cache)
     for _ in range(3):
-        found = anyio.run(resolver.read_finished_jobs, [FIRST])
-        assert found == {FIRST: final._replace(version=7)}
-    assert store.read == [f"s/f/{FIRST}"]
+        finished_jobs = anyio.run(resolver.read_finished_jobs, [FIRST])
+        assert finished_jobs == {FIRST: final._replace(version=7)}
+    assert store.read_keys == [f"s/f/{FIRST}"]
 
 
-def test_a_failed_reading_is_raised_as_it_is_and_reading_ends() -> None:
-    cache, store = StateCache(), Store()
+def test_a_failed_read_raises_its_error_and_stops_further_reads() -> None:
+    cache, store = StateCache(), FakeStore()
     store.failing = True
-    names = [f"job-{number:06d}" for number in range(100)]
+    job_ids = [f"job-{number:06d}" for number in range(100)]
     with pytest.raises(StoreRequestError):
-        anyio.run(resolver_of(store, cache).read_finished_jobs, names)
-    assert len(store.read) < len(names)
+        anyio.run(make_resolver(store, cache).read_finished_jobs, job_ids)
+    assert len(store.read_keys) < len(job_ids)
--- a/tests/test_transitions.py
+++ b/tests/test_transitions.py
@@ -1,4 +1,4 @@
-"""The transitions of jobs: what may be committed, and what follows from it."""
+"""State transitions of jobs, and the peer messages that carry their outcomes."""
 
 from collections import Counter
 from random import Random
@@ -13,7 +13,7 @@
 from sandladder.transport import peer_transport
 
 
-def test_a_cancelled_job_is_finished_only_when_its_last_attempt_has_ended() -> None:
+def test_a_cancelled_job_finishes_when_its_last_attempt_ends() -> None:
     cache = StateCache()
     transaction = Transaction(cache)
     submit(transaction, spec(), 0.0)
@@ -32,17 +32,17 @@
 
 
 @pytest.mark.parametrize("outcome", [AttemptOutcome.LOST, AttemptOutcome.NO_CAPACITY])
-def test_a_gang_that_lost_a_member_or_started_in_part_is_stopped_and_planned_again(
+def test_a_gang_with_a_lost_or_refused_task_is_stopped_and_rescheduled_as_a_whole(
     outcome: AttemptOutcome,
 ) -> None:
     cache, planner, gang = started_gang()
-    first = gang.live[0].attempt
+    first_attempt = gang.live[0].attempt
     transaction = Transaction(cache)
     assert end(transaction, [EndedAttempt(gang.id, 0, gang.live[0], outcome)], 0.0)
     commit(cache, transaction)
     gang = cache.jobs[gang.id]
     assert set(gang.live) == {1, 2} and all(a.stop == 0.0 for a in gang.live.values())
-    assert planner.plan([gang], {}) == []  # the old attempt is still there
+    assert planner.plan([gang], {}) == []  # the previous attempt is still live
     transaction = Transaction(cache)
     assert end(
         transaction,
@@ -52,7 +52,7 @@
     commit(cache, transaction)
     gang = cache.jobs[gang.id]
     pending_starts = planner.plan([gang], {})
-    assert len(pending_starts) == 3 and gang.next_attempt == first + 1
+    assert len(pending_starts) == 3 and gang.next_attempt == first_attempt + 1
     transaction = Transaction(cache)
     with pytest.raises(PreconditionFailedError):
         start(transaction, gang.id, [i.placement for i in pending_starts[:2]], LIMITS)
@@ -75,32 +75,32 @@
     assert cache.finished_jobs[gang.id].state == "cancelled" and gang.id not in cache.jobs
 
 
-def test_no_start_exceeds_its_teams_gpu_limit() -> None:
+def test_a_start_beyond_the_teams_gpu_limit_is_refused() -> None:
     cache = StateCache()
-    found = accept(cache, entries=5, gpus=1.0)
+    accepted = accept(cache, entries=5, gpus=1.0)
     transaction = Transaction(cache)
-    start(transaction, found.id, [Placement(t, "vm-2", "south", 1) for t in range(4)], LIMITS)
+    start(transaction, accepted.id, [Placement(t, "vm-2", "south", 1) for t in range(4)], LIMITS)
     commit(cache, transaction)
     transaction = Transaction(cache)
     with pytest.raises(PreconditionFailedError):
-        start(transaction, found.id, [Placement(4, "vm-2", "south", 1)], LIMITS)
+        start(transaction, accepted.id, [Placement(4, "vm-2", "south", 1)], LIMITS)
 
 
-def test_attempts_are_counted_by_agent_epoch_through_random_starts_and_ends() -> None:
+def test_agent_epoch_counts_match_live_attempts_after_random_starts_and_ends() -> None:
     for seed in range(40):
         rng = Random(seed)
         cache = StateCache()
-        found = accept(cache, entries=40, vcpus=0.1)
+        accepted = accept(cache, entries=40, vcpus=0.1)
         for _ in range(60):
-            transaction, job = Transaction(cache), cache.jobs.get(found.id)
+            transaction, job = Transaction(cache), cache.jobs.get(accepted.id)
             if job is None:
                 break
             free = list(job.pending())
             if free and rng.random() < 0.6:
-                place = Placement(
+                placement = Placement(
                     rng.choice(free), f"vm-{rng.randrange(4)}", "north", rng.randint(1, 3)
                 )
-                start(transaction, job.id, [place], LIMITS)
+                start(transaction, job.id, [placement], LIMITS)
             elif job.live:
                 task = rng.choice(list(job.live))
                 outcome = rng.choice([AttemptOutcome.DONE, AttemptOutcome.LOST])
@@ -108,16 +108,16 @@
             else:
                 continue
             commit(cache, transaction)
-            truth: dict[str, Counter[int]] = {}
-            live = cache.jobs[found.id].live if found.id in cache.jobs else {}
+            expected: dict[str, Counter[int]] = {}
+            live = cache.jobs[accepted.id].live if accepted.id in cache.jobs else {}
             for attempt in live.values():
-                truth.setdefault(attempt.machine, Counter())[attempt.agent_epoch] += 1
-            assert cache.agent_epochs == truth
+                expected.setdefault(attempt.machine, Counter())[attempt.agent_epoch] += 1
+            assert cache.agent_epochs == expected
 
 
-def test_failures_are_counted_until_a_task_of_the_job_is_done() -> None:
+def test_the_failure_count_is_reset_when_a_task_is_done() -> None:
     cache = StateCache()
-    found = accept(cache, entries=4, vcpus=0.1)
+    accepted = accept(cache, entries=4, vcpus=0.1)
     for task, (outcome, errors) in enumerate(
         [
             (AttemptOutcome.ERROR, 1),
@@ -127,17 +127,17 @@
         ]
     ):
         transaction = Transaction(cache)
-        start(transaction, found.id, [Placement(task, "vm-1", "north", 1)], LIMITS)
+        start(transaction, accepted.id, [Placement(task, "vm-1", "north", 1)], LIMITS)
         commit(cache, transaction)
         transaction = Transaction(cache)
-        attempt = cache.jobs[found.id].live[task]
-        assert end(transaction, [EndedAttempt(found.id, task, attempt, outcome)], 0.0)
+        attempt = cache.jobs[accepted.id].live[task]
+        assert end(transaction, [EndedAttempt(accepted.id, task, attempt, outcome)], 0.0)
         commit(cache, transaction)
-        assert cache.jobs[found.id].errors == errors
+        assert cache.jobs[accepted.id].errors == errors
 
 
-def test_outcomes_are_sent_to_peers_as_they_have_always_been() -> None:
-    """Controllers of two versions run side by side, so a value never changes."""
+def test_outcomes_keep_their_values_in_peer_messages() -> None:
+    """Controllers of two versions exchange outcomes during a rolling upgrade."""
     assert {str(outcome) for outcome in AttemptOutcome} == {
         "done", "stopped", "saved", "peers", "alone", "error", "unknown", "no_room", "busy",
         "lost", "never",
