--- a/src/sandladder/jobs/backoff.py
+++ b/src/sandladder/jobs/backoff.py
@@ -45,7 +45,7 @@
         log.debug("task %s/%d ended with outcome %s", ended.job, ended.task, ended.outcome)
 
     def _record_failure(self, ended: EndedAttempt, delay_s: float) -> float:
-        """Exclude the machine for this job and return the job's delay in seconds.
+        """Make the job avoid the machine and return the job's delay in seconds.
 
         `delay_s`, the delay after the first failure, doubles with each further machine.
         """
--- a/src/sandladder/jobs/transitions.py
+++ b/src/sandladder/jobs/transitions.py
@@ -2,8 +2,8 @@
 
 The module `starts` contains the starts.  A transition is applied to a `Transaction`, which records
 the version of each record that was read, so that the commit fails if one has changed.  A transition
-that is not allowed raises `PreconditionFailedError` before it changes the transaction.  Performs no
-I/O and reads no clock.
+that is not allowed raises `PreconditionFailedError` before it changes any record.  Performs no I/O
+and reads no clock.
 """
 
 from collections.abc import Iterable
@@ -113,7 +113,7 @@
 
 
 def end(transaction: Transaction, ended: Iterable[EndedAttempt], now: float) -> bool:
-    """Remove ended attempts from their jobs, and finish the jobs that are complete.
+    """Remove ended attempts from their jobs, and finish the jobs that have no work left.
 
     `now` is the time of day, in seconds.
 
