--- a/src/sandladder/agents/__init__.py
+++ b/src/sandladder/agents/__init__.py
@@ -1,14 +1,14 @@
-"""The agents on the machines: their heartbeats, their commands, and the leases that they run under.
+"""Agent heartbeats, commands to agents, and agent leases.
 
-An agent reports what runs on its machine; the committed starts in the store say what should.
-`Reconciler` makes commands and proved ends of the difference, and `AgentService` exchanges
-heartbeats and commands with the agents.  `LeaseRenewalGuard` decides until when an agent's lease
-may be renewed, `LeaseExpiryProof` when it has surely expired.
+An agent reports the tasks on its machine; the committed starts in the store define which tasks
+should run there.  `Reconciler` derives commands and proved task ends from the difference, and
+`AgentService` exchanges heartbeats and commands with the agents.  `LeaseRenewalGuard` decides
+whether an agent's lease may be renewed, `LeaseExpiryProof` whether it has certainly expired.
 
-The package owns one `AgentSession` for each agent that reports to this controller, the clients for
-commanding them, and when each was last answered; all of it in memory alone.  It never writes to the
-store, never decides what runs where, and never takes silence for an end: it hands proved ends to
-those who commit them.
+The package keeps, in memory only, one `AgentSession` per agent that reports to this controller, the
+HTTP clients for sending commands, and the time of the last answer to each agent.  It does not
+write to the store or place tasks.  A silent agent alone is no proof that its tasks ended; proved
+ends are passed to the callbacks that commit them.
 """
 
 from sandladder.agents.agent_service import AgentService
--- a/src/sandladder/agents/agent_clients.py
+++ b/src/sandladder/agents/agent_clients.py
@@ -1,4 +1,4 @@
-"""The HTTP clients with which agents are commanded."""
+"""HTTP clients for sending commands to agents."""
 
 from collections.abc import Container
 from typing import NamedTuple
@@ -6,7 +6,7 @@
 from sandladder.config import parse_address
 from sandladder.transport import HttpConnector, HttpRequester
 
-_KEPT_CONNECTIONS = 1
+_KEEPALIVE_CONNECTIONS = 1
 
 
 class _AgentClient(NamedTuple):
@@ -15,25 +15,25 @@
 
 
 class AgentClients:
-    """One client for each machine, made when it is first needed."""
+    """HTTP clients by machine, created on first use."""
 
     def __init__(self, connect: HttpConnector) -> None:
         self._connect = connect
         self._clients: dict[str, _AgentClient] = {}
 
     def get(self, machine: str, addr: str) -> HttpRequester:
-        """The client for a machine whose agent is served at this address."""
-        known = self._clients.get(machine)
-        if known is None or known.addr != addr:
+        """Return the client for the agent of a machine at an address."""
+        agent_client = self._clients.get(machine)
+        if agent_client is None or agent_client.addr != addr:
             host, port = parse_address(addr)
-            client = self._connect(host, port, keep=_KEPT_CONNECTIONS)
-            known = self._clients[machine] = _AgentClient(addr, client)
-        return known.client
+            client = self._connect(host, port, keep=_KEEPALIVE_CONNECTIONS)
+            agent_client = self._clients[machine] = _AgentClient(addr, client)
+        return agent_client.client
 
     async def close_except(self, machines: Container[str]) -> None:
-        """Close the clients of all machines but these.
+        """Close the clients of all machines except the given ones.
 
-        Cancelled, it has closed some of them, and none is used again.
+        If cancelled, some clients may stay open; a client removed from the map is never reused.
         """
         for machine in [machine for machine in self._clients if machine not in machines]:
             await self._clients.pop(machine).client.aclose()
--- a/src/sandladder/agents/agent_expiry.py
+++ b/src/sandladder/agents/agent_expiry.py
@@ -1,4 +1,4 @@
-"""The periodic pass over all agents: expired leases, late starts, and whom to forget."""
+"""Periodic pass over all agents: expired leases, late starts, and removal of silent agents."""
 
 import anyio
 
@@ -10,17 +10,17 @@
 from sandladder.membership import ControllerLease
 from sandladder.model import EndedAttempt
 
-# Passes in a report interval; each revisits one of so many shares of the agents.
-_PASSES_PER_INTERVAL = 6
-_SHARES = 6
-# An agent that is silent for so many leases is forgotten.
-_FORGOTTEN_AFTER_LEASES = 4
-# The state in which the records keep a machine that the cloud has taken away.
-_INSTANCE_GONE = "gone"
+_PASSES_PER_HEARTBEAT_INTERVAL = 6
+# Each pass reconciles one partition of the agents.
+_PARTITIONS = 6
+# An agent without a heartbeat for this many lease durations is removed.
+_REMOVAL_AFTER_LEASES = 4
+# Recorded state of an instance that the cloud has terminated.
+_INSTANCE_TERMINATED = "gone"
 
 
 class AgentExpiry:
-    """Revisits the agents periodically, for what events may have missed."""
+    """Periodically re-evaluates all agents, in case an event was missed."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         redirect: AgentRedirect,
         clients: AgentClients,
     ) -> None:
-        self._interval_s = workers.report_s / _PASSES_PER_INTERVAL
+        self._interval_s = workers.report_s / _PASSES_PER_HEARTBEAT_INTERVAL
         self._lease_s = workers.lease_s
         self._reconciler = agents.reconciler
         self._lease_expiry = agents.lease_expiry
@@ -43,71 +43,72 @@
         self._clients = clients
 
     async def run(self) -> None:
-        """Make one pass after the other until cancelled; a pass may be cancelled at any point."""
-        share = 0
+        """Run passes until cancelled; a pass may be cancelled at any point."""
+        partition = 0
         while True:
             await anyio.sleep(self._interval_s)
             now = self._scheduler.advance_time()
             if not self._store.watch.loaded:
                 continue
-            self._redirect.recount(now)
-            share = (share + 1) % _SHARES
-            await self._revisit_agents(share)
+            self._redirect.update_agent_count(now)
+            partition = (partition + 1) % _PARTITIONS
+            await self._reconcile_partition(partition)
             self._scheduler.record_ended_attempts(self._lost_attempts(now))
-            if share == 0:
-                self._forget_silent_agents(now)
+            if partition == 0:
+                self._remove_silent_agents(now)
             await self._clients.close_except(self._reconciler.agents)
             self._scheduler.commit_due_ends()
-            self._forget_finished_jobs()
+            self._remove_finished_jobs()
             self._scheduler.request_planning()
 
-    async def _revisit_agents(self, share: int) -> None:
-        """Take in again what the agents of a share prove; rule out late starts at any agent."""
+    async def _reconcile_partition(self, partition: int) -> None:
+        """Record the ends proved by a partition's agents; rule out late starts on all agents."""
         cache = self._store.cache
         for number, agent in enumerate(list(self._reconciler.agents.values())):
-            if number % _SHARES == share:
+            if number % _PARTITIONS == partition:
                 self._scheduler.record_ended_attempts(self._reconciler.proved_ends(agent, cache))
-            if agent.stale_start_token == self._reconciler.fencing_token and agent.accepts_token:
-                # Once the agent has shown a later token it refuses the start.
+            if (
+                agent.unanswered_start_token == self._reconciler.fencing_token
+                and agent.accepts_token
+            ):
+                # The agent rejects the late start once it has accepted a later token.
                 await self._controller_lease.acquire_token_above(self._reconciler.fencing_token + 1)
 
-    def _forget_silent_agents(self, now: float) -> None:
-        self._reconciler.forget_silent_agents(now, _FORGOTTEN_AFTER_LEASES * self._lease_s)
+    def _remove_silent_agents(self, now: float) -> None:
+        self._reconciler.remove_silent_agents(now, _REMOVAL_AFTER_LEASES * self._lease_s)
         self._scheduler.cluster.forget_missing()
 
-    def _forget_finished_jobs(self) -> None:
-        """Drop the machines that jobs avoid which are no longer live."""
+    def _remove_finished_jobs(self) -> None:
+        """Remove the avoided machines of jobs that are no longer live."""
         avoided_machines = self._scheduler.avoided_machines
         for job_id in avoided_machines.keys() - self._store.cache.jobs.keys():
             del avoided_machines[job_id]
 
     def _lost_attempts(self, now: float) -> list[EndedAttempt]:
-        """Attempts on machines that are gone, or whose agent's lease has surely expired."""
+        """Return the attempts whose machine was terminated or whose agent's lease has expired."""
         cache = self._store.cache
-        self._lease_expiry.observe_sessions(cache.agent_epochs, now)
-        found = []
+        self._lease_expiry.observe_agent_epochs(cache.agent_epochs, now)
+        lost = []
         for machine in cache.agent_epochs:
-            over = self._ended_sessions(machine, now)
-            if not over:
+            ended_epochs = self._ended_epochs(machine, now)
+            if not ended_epochs:
                 continue
-            found += [
+            lost += [
                 EndedAttempt(job.id, task, attempt, OUTCOME_LOST)
                 for job, task, attempt in cache.attempts_on(machine)
-                if attempt.agent_epoch in over
+                if attempt.agent_epoch in ended_epochs
             ]
-        return found
+        return lost
 
-    def _ended_sessions(self, machine: str, now: float) -> set[int]:
-        """The sessions of a machine that have committed starts and are surely over."""
+    def _ended_epochs(self, machine: str, now: float) -> set[int]:
+        """Return the agent epochs with committed starts on a machine that have certainly ended."""
         cache, cluster = self._store.cache, self._scheduler.cluster
-        sessions = cache.agent_epochs[machine]
+        epochs = cache.agent_epochs[machine]
         instance = cache.instances.get(machine)
-        if instance is not None and instance.state == _INSTANCE_GONE:
-            return set(sessions)
+        if instance is not None and instance.state == _INSTANCE_TERMINATED:
+            return set(epochs)
         observation = cluster.observation(machine)
         if observation is not None and cluster.now - observation.at < self._lease_s:
-            # A later session ends what an earlier one ran.
-            return {session for session in sessions if session < observation.status.agent_epoch}
-        return {
-            session for session in sessions if self._lease_expiry.has_expired(machine, session, now)
-        }
+            # An agent that starts a new epoch has ended all tasks of earlier epochs.
+            return {epoch for epoch in epochs if epoch < observation.status.agent_epoch}
+        return {epoch for epoch in epochs if self._lease_expiry.has_expired(machine, epoch, now)}
--- a/src/sandladder/agents/agent_redirect.py
+++ b/src/sandladder/agents/agent_redirect.py
@@ -1,4 +1,4 @@
-"""Which agents report to this controller, and which are redirected to another."""
+"""Assignment of agents to controllers, and detection of this controller's isolation."""
 
 import logging
 import math
@@ -12,14 +12,14 @@
 
 log = logging.getLogger(__name__)
 
-# When so many agents or more reported here and none has for so many report intervals, this
-# controller is cut off, not they.
-_SEVERAL_AGENTS = 4
-_ISOLATED_AFTER_INTERVALS = 1.3
+# If at least this many agents reported here and then no heartbeat arrives for this many heartbeat
+# intervals, the cause is this controller's network and not the agents.
+_ISOLATION_MIN_AGENTS = 4
+_ISOLATION_HEARTBEAT_INTERVALS = 1.3
 
 
 class AgentRedirect:
-    """Decides which agents should report to another controller, and counts those that stay."""
+    """Redirects agents to other controllers and counts the agents that report here."""
 
     def __init__(
         self,
@@ -32,17 +32,17 @@
         self._group = group
         self._reconciler = reconciler
         self._cluster = cluster
-        self._isolated_after_s = _ISOLATED_AFTER_INTERVALS * workers.report_s
+        self._isolated_after_s = _ISOLATION_HEARTBEAT_INTERVALS * workers.report_s
         self._assignment = WorkerAssignment(group.node, workers.report_s, workers.lease_s)
-        # When an agent last reported here, and how many did then.
+        # Time of the last heartbeat from any agent, and the agent count at that time.
         self._last_heartbeat_at = math.inf
         self._last_agent_count = 0
 
     def target(self, heartbeat: AgentHeartbeat) -> str | None:
-        """The controller that this agent should report to instead, if there is one."""
+        """Return the controller that this agent should report to instead, or None."""
         now = clock.now()
-        known = self._reconciler.agents.get(heartbeat.machine)
-        reports_here = known is not None and known.last_request_at > now - self._cluster.fresh_s
+        session = self._reconciler.agents.get(heartbeat.machine)
+        reports_here = session is not None and session.last_request_at > now - self._cluster.fresh_s
         membership = self._group.membership
         loads = membership.worker_loads(self.agent_count, self._reconciler.fencing_token)
         stable = membership.policy.is_stable(now)
@@ -56,11 +56,11 @@
             self.agent_count += not reports_here
             return None
         self.agent_count -= reports_here
-        log.debug("agent %s is redirected to %s", heartbeat.machine, node)
+        log.debug("redirecting agent %s to controller %s", heartbeat.machine, node)
         return node
 
     def accept(self, heartbeat: AgentHeartbeat) -> None:
-        """Note that an agent reports here, and which controller it came over from."""
+        """Record a heartbeat accepted here, and a failover from the previous controller, if any."""
         self._last_heartbeat_at, self._last_agent_count = clock.now(), self.agent_count
         observation = self._cluster.observation(heartbeat.machine)
         if observation is not None and observation.reporting_controller != self._group.node:
@@ -68,20 +68,20 @@
                 observation.reporting_controller, clock.now()
             )
 
-    def recount(self, now: float) -> None:
-        """Count the agents whose own heartbeats came of late."""
-        since = now - self._cluster.fresh_s
+    def update_agent_count(self, now: float) -> None:
+        """Recount the agents that recently sent a heartbeat here."""
+        fresh_since = now - self._cluster.fresh_s
         self.agent_count = sum(
-            agent.last_request_at > since for agent in self._reconciler.agents.values()
+            agent.last_request_at > fresh_since for agent in self._reconciler.agents.values()
         )
 
     def is_isolated(self, now: float) -> bool:
-        """Whether no agent reaches this controller any more, of several that did.
+        """Return whether this controller lost contact with its agents while others receive them.
 
-        Seen in a measured day: the controller with the autoscaler's duty lost its connection to the
-        machines, took its own isolation for their silence, and returned 136 of them.
+        Guards against an isolated controller treating its healthy machines as failed and returning
+        them to the cloud.
         """
-        if self._last_agent_count < _SEVERAL_AGENTS:
+        if self._last_agent_count < _ISOLATION_MIN_AGENTS:
             return False
         if now - self._last_heartbeat_at <= self._isolated_after_s:
             return False
--- a/src/sandladder/agents/agent_service.py
+++ b/src/sandladder/agents/agent_service.py
@@ -1,4 +1,4 @@
-"""The agent service: the parts of this package joined for the layers above."""
+"""The agent service, the package's interface to the layers above."""
 
 from sandladder.agents.agent_clients import AgentClients
 from sandladder.agents.agent_expiry import AgentExpiry
@@ -32,16 +32,16 @@
         group: ControllerGroup,
         scheduler: SchedulerCallbacks,
     ) -> None:
-        """Make the parts; nothing is sent or started before it is asked for.
+        """Create the components; nothing is sent or started yet.
 
         Args:
-            workers: the intervals of heartbeats and the length of leases.
-            connect: makes a client for an agent's address.
-            background: runs the exchanges that nobody waits for.
-            agents: what is kept of the agents.
-            store: the records that agents are reconciled with.
-            group: this controller among the others.
-            scheduler: is given observations and ends.
+            workers: heartbeat interval and lease duration.
+            connect: creates an HTTP client for an agent's address.
+            background: runs the background exchanges with agents.
+            agents: the agents' sessions and lease state.
+            store: the cached records that agents are reconciled with.
+            group: this controller, its lease and its peers.
+            scheduler: receives observations and ended attempts.
         """
         clients = AgentClients(connect)
         reconciler, cluster = agents.reconciler, scheduler.cluster
@@ -63,7 +63,7 @@
 
     @property
     def agent_count(self) -> int:
-        """How many agents report to this controller."""
+        """The number of agents that report to this controller."""
         return self._redirect.agent_count
 
     async def handle_heartbeat(self, request: Request) -> Response:
@@ -71,17 +71,17 @@
         return await self._endpoint.handle(request)
 
     def send_commands(self, agent: AgentSession) -> None:
-        """Send an agent its commands in the background, if there are any."""
+        """Send an agent its pending commands, if any, in the background."""
         self._sender.send_commands(agent)
 
     def stop_cancelled(self, job_ids: list[str]) -> None:
-        """Stop at once what runs of jobs that a peer names as cancelled."""
+        """Stop the running tasks of jobs that a peer announced as cancelled."""
         self._sender.stop_cancelled(job_ids)
 
     def is_isolated(self, now: float) -> bool:
-        """Whether this controller is cut off from agents that others receive heartbeats of."""
+        """Return whether this controller lost contact with agents that report to others."""
         return self._redirect.is_isolated(now)
 
     async def expire_silent_agents(self) -> None:
-        """Look for losses and forget silent agents until cancelled; see `AgentExpiry.run`."""
+        """Detect lost attempts and remove silent agents until cancelled; see `AgentExpiry.run`."""
         await self._expiry.run()
--- a/src/sandladder/agents/agent_session.py
+++ b/src/sandladder/agents/agent_session.py
@@ -1,4 +1,4 @@
-"""What a controller knows of one agent from the heartbeats that the agent sent to it."""
+"""A controller's state of one agent, derived from the agent's heartbeats."""
 
 import math
 
@@ -9,98 +9,100 @@
 
 
 class AgentSession:
-    """One agent, as its latest heartbeat and the commands sent to it leave it.
+    """The state of one agent: its latest heartbeat and the commands sent to it.
 
-    Times are in seconds on this controller's steady clock.  Pure: no I/O, no clock.
+    Times are in seconds on this controller's steady clock.  Performs no I/O and reads no clock.
     """
 
     def __init__(self, heartbeat: AgentHeartbeat) -> None:
-        self.heartbeat = heartbeat  # the latest
-        # When the latest heartbeat came, be it the response to a command or the agent's own
-        # request, and when the latest of its own requests came.
+        self.heartbeat = heartbeat  # the latest heartbeat
+        # Arrival of the latest heartbeat, either a request or the response to a command, and
+        # arrival of the latest request.
         self.last_seen_at = 0.0
         self.last_request_at = 0.0
-        # When the cloud takes the machine away; None: it has given no notice.
+        # When the cloud will terminate the machine; None without a termination notice.
         self.termination_at: float | None = None
         self.reported_tasks: dict[AttemptKey, TaskStatus] = {}
-        # Attempts that a heartbeat of this session has shown: none is started again.
+        # Attempts reported in this agent epoch; none of them is started again.
         self.seen_attempts: set[AttemptKey] = set()
-        # The agent has shown our fencing token, so it refuses commands from any controller with
-        # an earlier one.  `synced`: our copy of the records was read after that.
+        # Whether the agent has reported this controller's fencing token, so that it rejects
+        # commands under earlier tokens, and whether the cache was read after that.
         self.accepts_token = False
         self.synced = False
-        self.acceptance_count = 0  # how often it came to accept our token
-        # A direct command with a start was sent under this token and not answered: the start may
-        # still arrive, until the agent shows a later token or session.
-        self.stale_start_token: int | None = None
-        # A start went out in a response that the agent may not have received yet.
+        self.acceptance_count = 0  # number of changes of `accepts_token` to True
+        # Token of an unanswered direct command with a start.  The start may still be delivered
+        # until the agent reports a later token or epoch.
+        self.unanswered_start_token: int | None = None
+        # A start was sent in a heartbeat response that the agent may not have received yet.
         self.start_in_response = False
-        # Up to when cancellations were known when a start was sent that may still arrive;
-        # infinite: there is none.
+        # For a start that may still be delivered: all cancellations confirmed before this time
+        # were known when it was sent.  Infinite if there is no such start.
         self.late_start_known_until = math.inf
         self.command_in_flight = False
-        self.failed_jobs: set[str] = set()  # jobs that failed here since one succeeded
+        self.failed_jobs: set[str] = set()  # jobs that failed here since the last success
         self._counted_exits: set[AttemptKey] = set()
 
     @property
-    def session(self) -> int:
-        """The number of the agent's session; a restarted agent has a higher one."""
+    def agent_epoch(self) -> int:
+        """The agent's epoch; all tasks of its earlier epochs have ended."""
         return self.heartbeat.agent_epoch
 
     @property
-    def start_may_be_late(self) -> bool:
-        """Whether a start of ours may arrive that is neither answered nor in flight any more."""
-        return self.stale_start_token is not None or self.start_in_response
+    def late_start_possible(self) -> bool:
+        """Whether a start that is no longer in flight may still be delivered to the agent."""
+        return self.unanswered_start_token is not None or self.start_in_response
 
     def is_newer(self, heartbeat: AgentHeartbeat) -> bool:
-        """Whether a heartbeat was made after the latest that is known."""
-        known = self.heartbeat
+        """Return whether a heartbeat was made after the latest known one."""
+        latest = self.heartbeat
         return (heartbeat.agent_epoch, heartbeat.sequence_number) > (
-            known.agent_epoch,
-            known.sequence_number,
+            latest.agent_epoch,
+            latest.sequence_number,
         )
 
-    def take_in(self, heartbeat: AgentHeartbeat, now: float, *, direct: bool) -> None:
-        """Note what a newer heartbeat shows; `direct`: it came as the response to a command."""
+    def apply_heartbeat(self, heartbeat: AgentHeartbeat, now: float, *, direct: bool) -> None:
+        """Apply a newer heartbeat; `direct` marks the response to a direct command."""
         if heartbeat.agent_epoch != self.heartbeat.agent_epoch:
-            self._begin_session()
+            self._begin_epoch()
         self.heartbeat = heartbeat
         self.last_seen_at = now
         if not direct:
             self.last_request_at = now
-            # The agent keeps one request in flight, so it is done with the last response.
+            # The agent has one request in flight, so it has processed the previous response.
             self.start_in_response = False
         self.termination_at = None if heartbeat.notice_s is None else now + heartbeat.notice_s
-        self.reported_tasks = {(e.job, e.task, e.attempt): e for e in heartbeat.tasks}
+        self.reported_tasks = {
+            (task.job, task.task, task.attempt): task for task in heartbeat.tasks
+        }
         self.seen_attempts.update(self.reported_tasks)
         self._count_exits()
 
     def accept_token(self) -> None:
-        """The agent has shown our fencing token."""
+        """Record that the agent has reported this controller's fencing token."""
         if not self.accepts_token:
             self.accepts_token, self.synced = True, False
             self.acceptance_count += 1
 
     def revoke_token(self) -> None:
-        """The agent is not known to accept our fencing token any more."""
+        """Record that the agent may no longer accept this controller's fencing token."""
         self.accepts_token = self.synced = False
 
     def rule_out_late_start(self) -> None:
-        """No start that was sent directly before can arrive any more."""
-        self.stale_start_token = None
+        """Record that no earlier direct start can be delivered any more."""
+        self.unanswered_start_token = None
         if not self.command_in_flight:
             self.late_start_known_until = math.inf
 
-    def _begin_session(self) -> None:
-        """The agent was restarted: nothing of its former session is there any more."""
+    def _begin_epoch(self) -> None:
+        """Discard the state of the previous epoch, all of whose tasks have ended."""
         self.seen_attempts = set()
         self._counted_exits = set()
         self.failed_jobs = set()
-        # A command for an earlier session is refused by the agent itself.
+        # The agent rejects commands for an earlier epoch.
         self.rule_out_late_start()
 
     def _count_exits(self) -> None:
-        """Note which jobs failed here in a row."""
+        """Update the jobs that failed here since the last success."""
         for key, task in self.reported_tasks.items():
             if task.state != TASK_EXITED or key in self._counted_exits:
                 continue
--- a/src/sandladder/agents/collaborators.py
+++ b/src/sandladder/agents/collaborators.py
@@ -1,7 +1,7 @@
-"""What the services of this package use from others, grouped by where it comes from.
+"""The dependencies of this package's services, grouped by origin.
 
-What lies in lower packages comes as the object itself; what lies above comes as a protocol or a
-callback.
+Dependencies on lower packages are concrete objects; those on higher layers are protocols or
+callbacks.
 """
 
 from collections.abc import Callable, Iterable, MutableMapping
@@ -19,7 +19,7 @@
 
 
 class Observation(Protocol):
-    """The latest that any controller is known to have observed of a machine."""
+    """The latest known observation of a machine by any controller."""
 
     @property
     def status(self) -> MachineStatus:
@@ -27,40 +27,40 @@
 
     @property
     def reporting_controller(self) -> str:
-        """The controller that observed it."""
+        """The controller that made the observation."""
 
     @property
     def at(self) -> float:
-        """When that was, in seconds on this controller's steady clock."""
+        """The time of the observation, in seconds on this controller's steady clock."""
 
 
 class ClusterObservations(Protocol):
-    """The machines as all controllers together observe them."""
+    """The combined observations of all controllers, by machine."""
 
     @property
     def now(self) -> float:
-        """The moment as of which it answers, in seconds on the steady clock."""
+        """The time that the observations are evaluated at, in seconds on the steady clock."""
 
     @property
     def fresh_s(self) -> float:
-        """For how many seconds an agent that sent a heartbeat here counts as reporting here."""
+        """How long an agent counts as reporting here after a heartbeat, in seconds."""
 
     def observation(self, machine: str) -> Observation | None:
-        """The latest observation of a machine."""
+        """Return the latest observation of a machine, or None if there is none."""
 
     def record_heartbeat(self, agent: AgentSession) -> None:
-        """Take in what an agent's latest heartbeat shows."""
+        """Update the observations from an agent's latest heartbeat."""
 
     def machine_changed(self, machine: str) -> None:
-        """Work out anew what is derived of a machine."""
+        """Recompute the state derived from a machine."""
 
     def forget_missing(self) -> None:
-        """Drop the machines that no controller has observed for long."""
+        """Remove the machines that no controller has observed for a long time."""
 
 
 @dataclass(frozen=True)
 class AgentRecords:
-    """What this controller keeps of its agents, and the proofs that rest on it."""
+    """This controller's agent sessions and the state of their leases."""
 
     reconciler: Reconciler
     lease_expiry: LeaseExpiryProof
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True)
 class StoreAccess:
-    """The store's records; `reachable`: whether the store has answered of late."""
+    """The cached records of the store; `reachable` tells whether the store answered recently."""
 
     cache: StateCache
     watch: StoreWatch
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True)
 class ControllerGroup:
-    """This controller among the others."""
+    """This controller, its lease and its connections to the other controllers."""
 
     node: str
     controller_lease: ControllerLease
@@ -88,16 +88,17 @@
 
 @dataclass(frozen=True)
 class SchedulerCallbacks:
-    """What the layers above are given and asked for.
+    """Callbacks to the scheduling layers, and the state shared with them.
 
     Attributes:
-        cluster: the machines as all controllers observe them.
-        advance_time: sets the moment as of which `cluster` answers to now, on the steady clock,
+        cluster: the combined observations of all controllers.
+        advance_time: sets the evaluation time of `cluster` to the current time on the steady clock
             and returns it, in seconds.
-        record_ended_attempts: takes in attempts whose end is proved.
-        commit_due_ends: commits the ends that have waited long enough.
-        avoided_machines: by job, the machines that it is not started on; finished jobs are removed.
-        request_planning: has the next round of planning begin.
+        record_ended_attempts: records attempts whose end is proved.
+        commit_due_ends: commits the recorded ends whose delay has passed.
+        avoided_machines: by job, the machines that it must not start on; this package removes the
+            items of finished jobs.
+        request_planning: triggers the next planning round.
     """
 
     cluster: ClusterObservations
--- a/src/sandladder/agents/command_sender.py
+++ b/src/sandladder/agents/command_sender.py
@@ -1,4 +1,4 @@
-"""Commands that are sent to agents directly, ahead of their next heartbeat."""
+"""Delivery of commands to agents directly, before their next heartbeat."""
 
 import logging
 import math
@@ -26,19 +26,19 @@
 
 
 class _CommandBatch(NamedTuple):
-    """Commands that are sent together, under one fencing token."""
+    """Commands sent in one request, under one fencing token."""
 
     token: int
     commands: list[Command]
 
     @property
     def has_start(self) -> bool:
-        """Whether any of them starts an attempt."""
+        """Whether the batch starts an attempt."""
         return any(command.operation == START for command in self.commands)
 
 
 class _CommandResponse(NamedTuple):
-    """How an agent answered: a status, and a heartbeat made after it took the commands in."""
+    """An agent's response: a status, and a heartbeat made after it processed the commands."""
 
     status: int
     heartbeat: AgentHeartbeat
@@ -59,8 +59,8 @@
         intake: HeartbeatIntake,
     ) -> None:
         self._timeout_s = report_interval_s
-        # An agent that did not answer is left alone for so long.
-        self._pause_s = report_interval_s / 2
+        # Delay after an unanswered request.
+        self._retry_delay_s = report_interval_s / 2
         self._background = background
         self._clients = clients
         self._reconciler = agents.reconciler
@@ -71,7 +71,7 @@
         self._intake = intake
 
     def send_commands(self, agent: AgentSession) -> None:
-        """Send an agent its commands in the background, if there are any."""
+        """Send an agent its pending commands, if any, in the background."""
         if (
             agent.command_in_flight
             or not self._controller_lease.alive()
@@ -81,10 +81,10 @@
         commands = self._reconciler.commands(agent, self._cache)
         if any(command.operation != FORGET for command in commands):
             agent.command_in_flight = True
-            self._background.start_soon(self._command, agent)
+            self._background.start_soon(self._send_and_continue, agent)
 
     def stop_cancelled(self, job_ids: list[str]) -> None:
-        """Stop at once what runs of jobs that a peer names as cancelled, each committed so."""
+        """Stop the running tasks of jobs whose committed cancellation a peer announced."""
         for job_id in self._cache.add_peer_cancellations(job_ids, clock.now()):
             job = self._cache.jobs.get(job_id)
             attempts = job.live.values() if job is not None else ()
@@ -93,10 +93,10 @@
                 if agent is not None:
                     self.send_commands(agent)
 
-    async def _command(self, agent: AgentSession) -> None:
-        """Send one batch, and then whatever else has come up.
+    async def _send_and_continue(self, agent: AgentSession) -> None:
+        """Send one batch, and another one if more commands are pending afterwards.
 
-        Cancelled, as this process ends, it leaves open whether the agent took the batch in.
+        If cancelled at shutdown, the agent may or may not have processed the batch.
         """
         machine = agent.heartbeat.machine
         try:
@@ -107,7 +107,7 @@
             self.send_commands(agent)
 
     async def _send_batch(self, agent: AgentSession) -> bool:
-        """Send the commands that follow from the records now; whether there are more to send."""
+        """Send the commands that the records call for; return whether more are pending."""
         commands = self._reconciler.commands(agent, self._cache)
         if not commands or not self._controller_lease.alive():
             return False
@@ -118,15 +118,18 @@
         response = await self._request(agent, batch)
         if response is None:
             if batch.has_start:
-                agent.stale_start_token = batch.token
-            await anyio.sleep(self._pause_s)
+                agent.unanswered_start_token = batch.token
+            await anyio.sleep(self._retry_delay_s)
             return False
-        return self._take_in(agent, batch, response)
+        return self._process_response(agent, batch, response)
 
     async def _request(self, agent: AgentSession, batch: _CommandBatch) -> _CommandResponse | None:
-        """Send a batch; None if no usable response came, and the agent may have taken it in."""
+        """Send a batch and return the response.
+
+        Returns None without a usable response; the agent may have processed the batch regardless.
+        """
         machine, addr = agent.heartbeat.machine, agent.heartbeat.addr
-        body = agent_messages.direct_commands_body(agent.session, batch.token, batch.commands)
+        body = agent_messages.direct_commands_body(agent.agent_epoch, batch.token, batch.commands)
         try:
             response = await self._clients.get(machine, addr).request(
                 "POST", agent_messages.COMMANDS_PATH, body, timeout=self._timeout_s
@@ -135,19 +138,23 @@
                 response.status, agent_messages.parse_heartbeat(loads(response.body))
             )
         except (HttpError, MalformedMessageError) as error:
-            log.info("machine %s did not answer a command: %s", machine, error)
+            log.info("no valid response from machine %s to a command: %s", machine, error)
             return None
 
-    def _take_in(
+    def _process_response(
         self, agent: AgentSession, batch: _CommandBatch, response: _CommandResponse
     ) -> bool:
-        """Take in the response to a batch; whether there are more commands to send at once."""
+        """Process the response to a batch; return whether more commands are pending."""
         machine, heartbeat = agent.heartbeat.machine, response.heartbeat
         if heartbeat.machine != machine:
-            log.warning("%s answers at the address of %s", heartbeat.machine, machine)
+            log.warning(
+                "machine %s answered a request to the address of machine %s",
+                heartbeat.machine,
+                machine,
+            )
             return False
         self._intake.receive(heartbeat, direct=True)
-        if agent.stale_start_token is None:
+        if agent.unanswered_start_token is None:
             agent.late_start_known_until = math.inf
         if response.status != _OK:
             if heartbeat.fencing_token > batch.token:
@@ -156,11 +163,15 @@
         self._scheduler.record_ended_attempts(
             self._reconciler.proved_never_started(agent, self._cache, batch.commands, batch.token)
         )
-        # What was just sent and is under way needs no repeating before the next heartbeat.
+        # Commands of this batch are not repeated before the next heartbeat.
         remaining = self._reconciler.commands(agent, self._cache)
-        return not _keys(remaining) <= _keys(batch.commands)
+        return not _attempt_keys(remaining) <= _attempt_keys(batch.commands)
 
 
-def _keys(commands: Iterable[Command]) -> set[AttemptKey]:
-    """The attempts that commands start or stop."""
-    return {(c.job, c.task, c.attempt) for c in commands if c.operation != FORGET}
+def _attempt_keys(commands: Iterable[Command]) -> set[AttemptKey]:
+    """Return the attempts that the commands start or stop."""
+    return {
+        (command.job, command.task, command.attempt)
+        for command in commands
+        if command.operation != FORGET
+    }
--- a/src/sandladder/agents/constants.py
+++ b/src/sandladder/agents/constants.py
@@ -1,6 +1,6 @@
-"""Operations of a `Command`, states of a `ReportedTask`, outcomes of an `EndedAttempt`.
+"""Operations of a `Command`, states of a `TaskStatus`, and outcomes of an `EndedAttempt`.
 
-Plain strings, for the records and the messages between controllers hold them as they are.
+Plain strings, as stored in the records and sent between controllers.
 """
 
 from typing import Final
@@ -10,15 +10,15 @@
 STOP: Final = "stop"
 FORGET: Final = "forget"
 
-# States in which an agent reports a task; any other leaves what is to be done unchanged.
-TASK_SAVING: Final = "flushing"  # it writes its checkpoint before it ends
+# States of a reported task that affect the commands; all other states are treated alike.
+TASK_SAVING: Final = "flushing"  # writing a checkpoint before it exits
 TASK_EXITED: Final = "exited"
 
-# Causes with which an exited task is reported.
+# Exit causes of a reported task.
 EXIT_DONE: Final = "done"
 EXIT_ERROR: Final = "error"
 
-# Outcomes of an attempt that are concluded here; any other is the reported cause of its exit.
-OUTCOME_LOST: Final = "lost"  # its machine, or the agent's session, is surely over
-OUTCOME_NEVER_STARTED: Final = "never"  # it was stopped before it was started
-OUTCOME_CHECKPOINTED: Final = "saved"  # it exited with its progress saved
+# Outcomes determined by the controller; any other outcome is the reported exit cause.
+OUTCOME_LOST: Final = "lost"  # its machine or its agent's epoch has certainly ended
+OUTCOME_NEVER_STARTED: Final = "never"  # stopped before it was started
+OUTCOME_CHECKPOINTED: Final = "saved"  # exited after writing a checkpoint
--- a/src/sandladder/agents/heartbeat_endpoint.py
+++ b/src/sandladder/agents/heartbeat_endpoint.py
@@ -1,4 +1,4 @@
-"""The endpoint to which agents send their heartbeats."""
+"""HTTP endpoint for agent heartbeats."""
 
 from typing import NamedTuple
 
@@ -13,7 +13,7 @@
 from sandladder.protocol import MalformedMessageError, agent_messages, dumps, job_messages, loads
 from sandladder.transport import Request, Response, peer_transport
 
-# The statuses of the protocol's responses.
+# Status codes of the responses.
 _OK = 200
 _MALFORMED = 400
 _REDIRECTED = 421
@@ -21,15 +21,15 @@
 
 
 class _PublishedState(NamedTuple):
-    """What the other controllers should soon know of a machine."""
+    """Agent state whose changes are sent to the other controllers immediately."""
 
-    session: int
+    agent_epoch: int
     on_notice: bool
     failed_jobs: int
 
 
 class HeartbeatEndpoint:
-    """Answers heartbeats: with commands and a renewed lease, or with a redirect."""
+    """Answers heartbeats with commands and a renewed lease, or with a redirect."""
 
     def __init__(
         self,
@@ -52,8 +52,8 @@
     async def handle(self, request: Request) -> Response:
         """Answer one heartbeat.
 
-        Waits at most for a later fencing token, if the agent has accepted one above ours.
-        Cancelled there, the heartbeat counts as not received.
+        Waits only for acquiring a later fencing token, if the agent has accepted one above this
+        controller's.  If cancelled while waiting, the heartbeat counts as not received.
         """
         try:
             heartbeat = agent_messages.parse_heartbeat(loads(request.body))
@@ -69,22 +69,22 @@
         return self._accept(heartbeat)
 
     def _redirect_elsewhere(self, heartbeat: AgentHeartbeat) -> Response | None:
-        """The response that redirects an agent to another controller, if it should go there."""
+        """Return a redirect if the agent should report to another controller, else None."""
         peers = self._group.peers
         if not self._renewer.permitted():
             return _redirect_response(peers.find_serving_peer())
         if not self._store.reachable() and (peer := peers.find_serving_peer()):
-            # Commands for the agent are not known here any more, and a peer can read them.
+            # The cached records may be outdated here, while the peer can read the store.
             return _redirect_response(peer)
         if (node := self._redirect.target(heartbeat)) is not None:
             return _redirect_response(node)
         return None
 
     def _accept(self, heartbeat: AgentHeartbeat) -> Response:
-        """Take in the heartbeat of an agent that reports here, and answer it."""
+        """Process the heartbeat of an agent that reports here, and return the response."""
         self._redirect.accept(heartbeat)
-        known = self._reconciler.agents.get(heartbeat.machine)
-        before = None if known is None else _published_state(known)
+        session = self._reconciler.agents.get(heartbeat.machine)
+        before = None if session is None else _published_state(session)
         agent = self._intake.receive(heartbeat, direct=False)
         if agent is None:
             return Response(_OUTDATED, job_messages.error_body("a newer report is known"))
@@ -100,7 +100,7 @@
         )
 
     def _publish(self, agent: AgentSession) -> None:
-        """Send the others a machine that came or changed, ahead of this controller's inventory."""
+        """Send a new or changed machine to the peers, ahead of this controller's inventory."""
         machine = agent.heartbeat.machine
         observation = self._cluster.observation(machine)
         if observation is None:
@@ -112,7 +112,9 @@
 
 
 def _published_state(agent: AgentSession) -> _PublishedState:
-    return _PublishedState(agent.session, agent.termination_at is not None, len(agent.failed_jobs))
+    return _PublishedState(
+        agent.agent_epoch, agent.termination_at is not None, len(agent.failed_jobs)
+    )
 
 
 def _redirect_response(node: str | None) -> Response:
--- a/src/sandladder/agents/heartbeat_intake.py
+++ b/src/sandladder/agents/heartbeat_intake.py
@@ -1,4 +1,4 @@
-"""What follows from a heartbeat, whether an agent sent it or answered a command with it."""
+"""Processing of heartbeats, from an agent's request or its response to a command."""
 
 from collections.abc import Callable
 
@@ -12,7 +12,7 @@
 
 
 class HeartbeatIntake:
-    """Updates the agent's session and the cluster view, and records the ends that are proved."""
+    """Updates the agent's session and the cluster view, and records proved ends."""
 
     def __init__(
         self,
@@ -23,16 +23,16 @@
         scheduler: SchedulerCallbacks,
         send_commands: Callable[[AgentSession], None],
     ) -> None:
-        """Connect it.
+        """Set the collaborators.
 
         Args:
-            lease_s: how long an agent's lease lasts; a reading of the store that takes longer is
-                given up.
-            background: where those readings run.
-            reconciler: knows the agents.
-            store: the records that agents are reconciled with.
-            scheduler: is given what the heartbeats show.
-            send_commands: called once an agent may be commanded.
+            lease_s: duration of an agent's lease, and timeout of the store read before an agent is
+                sent commands.
+            background: runs these store reads.
+            reconciler: holds the agents' sessions.
+            store: the cached records that agents are reconciled with.
+            scheduler: receives observations and ended attempts.
+            send_commands: called once commands may be sent to an agent.
         """
         self._lease_s = lease_s
         self._background = background
@@ -42,10 +42,10 @@
         self._send_commands = send_commands
 
     def receive(self, heartbeat: AgentHeartbeat, *, direct: bool) -> AgentSession | None:
-        """Take in a heartbeat; `direct`: it came as the response to a command.
+        """Process a heartbeat; `direct` marks the response to a direct command.
 
         Returns:
-            The agent's session; None if a later heartbeat is known.
+            The agent's session, or None if a later heartbeat is known.
         """
         now = self._scheduler.advance_time()
         agent, is_new = self._reconciler.receive_heartbeat(heartbeat, now, direct=direct)
@@ -59,9 +59,11 @@
         return agent
 
     async def _synchronize(self, agent: AgentSession, acceptance_count: int) -> None:
-        """Command an agent only from records read after it came to accept our token.
+        """Read the store and then allow commands to an agent that accepts the fencing token.
 
-        Cancelled, it leaves the agent without commands; its next heartbeat starts this again.
+        Commands based on an earlier read could contradict starts, stops and ends that another
+        controller committed before the acceptance.  If this is cancelled, the agent receives no
+        commands until its next heartbeat starts it again.
         """
         with anyio.move_on_after(self._lease_s):
             await self._store.watch.barrier()
--- a/src/sandladder/agents/lease_renewal.py
+++ b/src/sandladder/agents/lease_renewal.py
@@ -1,4 +1,4 @@
-"""Whether an agent's lease may be renewed now, and the note that it was."""
+"""Renewal of agent leases."""
 
 import logging
 
@@ -12,7 +12,7 @@
 
 
 class LeaseRenewer:
-    """Renews agents' leases while this controller's own lease lasts and cancellations are known."""
+    """Renews agent leases while this controller holds its own lease and knows all cancellations."""
 
     def __init__(
         self,
@@ -23,18 +23,17 @@
         self._controller_lease = controller_lease
         self._renewal_guard = renewal_guard
         self._lease_expiry = lease_expiry
-        self._suspended = False  # by the guard, when last asked
+        self._suspended = False  # result of the latest check of the guard
 
     def permitted(self) -> bool:
-        """Whether any agent's lease may be renewed now."""
+        """Return whether any agent lease may be renewed now."""
         return self._controller_lease.alive() and not self._is_suspended()
 
     def renew(self, agent: AgentSession) -> bool:
-        """Renew an agent's lease; False if that is not permitted.
+        """Renew an agent's lease and return True, or return False if that is not permitted.
 
-        The agent sent its heartbeat before now, and its lease counts from then: once this has
-        returned True the response may be held up, or this process suspended, for as long as it
-        takes.
+        The lease is counted from when the agent sent its heartbeat, so a delay of the response
+        after this call, of any length, does not extend it.
         """
         now = clock.now()
         if not self._controller_lease.alive():
@@ -45,7 +44,7 @@
         return True
 
     def _is_suspended(self) -> bool:
-        """Whether cancellations of late may be unknown; a change is logged."""
+        """Return whether recent cancellations may be unknown, and log a change."""
         now = clock.now()
         suspended = not self._renewal_guard.permits_renewal(now)
         if suspended != self._suspended:
--- a/src/sandladder/agents/lease_renewal_guard.py
+++ b/src/sandladder/agents/lease_renewal_guard.py
@@ -1,19 +1,18 @@
-"""Until when agents' leases may be renewed, by what this controller knows of cancellations.
-
-An agent's lease ends `lease_s` after its last answered heartbeat was sent, and the tasks of a
-cancelled job must be gone within `cancel_s` of the confirmation to its user.  So a controller
-answers a heartbeat only while all cancellations that were confirmed up to a moment are known to
-it, and that moment is less than `cancel_s - lease_s` ago: the cancellations that it knows are
-stopped with the answer, those that it does not know were confirmed later, and the lease ends in
-time for them.
-
-Such a moment is when its newest reading of the store was *sent*.  In an outage the heartbeats of
-the other controllers carry it on from there: each names the cancelled jobs that its sender knows
-and acknowledges the latest clock reading of ours that its sender received, so it was made after
-that.  A controller's silence proves nothing, and neither do the heartbeats of a process whose first
-came after that reading of the store: what its predecessor confirmed is not in them.
-
-All times are in seconds on this controller's steady clock.  Pure: no I/O, no clock.
+"""Suspension of lease renewals while this controller may not know all recent cancellations.
+
+An agent's lease expires `lease_s` after its last answered heartbeat was sent, and the tasks of a
+cancelled job must have ended within `cancel_s` of the confirmation to its user.  A controller
+therefore answers a heartbeat only if it knows all cancellations that were confirmed up to some time
+less than `cancel_s - lease_s` ago.  The answer stops the tasks of the cancellations that it knows;
+all others were confirmed later, and the lease expires in time for them.
+
+That time is when the latest store read was *sent*.  During a store outage the heartbeats of the
+other controllers advance it: each heartbeat lists the cancelled jobs that its sender knows and
+acknowledges the latest clock reading received from this controller, so it was made after that
+reading.  A silent controller advances nothing, and neither does a process whose first heartbeat
+arrived after the store read: its heartbeats lack the cancellations that its predecessor confirmed.
+
+All times are in seconds on this controller's steady clock.  Performs no I/O and reads no clock.
 """
 
 import math
@@ -24,37 +23,37 @@
 
 
 class _Peer:
-    """What another controller's heartbeats prove."""
+    """State derived from another controller's heartbeats."""
 
     def __init__(self) -> None:
         self.process: int | None = None
-        self.first_heartbeat_at = math.inf  # of this process
-        self.known_until = -math.inf  # what it had confirmed by then we know
+        self.first_heartbeat_at = math.inf  # first heartbeat of that process
+        self.known_until = -math.inf  # its confirmations up to this time are known here
 
 
 class LeaseRenewalGuard:
-    """Up to which moment this controller surely knows all cancellations confirmed to users."""
+    """Tracks the time up to which this controller knows all confirmed cancellations."""
 
     def __init__(
         self, node: str, peers: Iterable[str], process: int, workers: AgentSettings
     ) -> None:
-        """Begin without any knowledge: no lease may be renewed.
+        """Initialize so that no lease may be renewed yet.
 
         Args:
             node: this controller.
-            peers: all others that the settings name.
-            process: distinguishes this process from others under the same name.
-            workers: how long leases and cancellations may take.
+            peers: all other controllers named in the settings.
+            process: distinguishes this process from others with the same node name.
+            workers: lease duration and cancellation deadline.
         """
         self._node, self._process = node, process
         self._peers = {name: _Peer() for name in peers}
         self._max_age_s = workers.cancellation_knowledge_age_s
-        self._last_read_at = -math.inf  # when our newest reading of the store was sent
-        # The latest clock reading received of each peer, to be acknowledged to it.
+        self._last_read_at = -math.inf  # request time of the latest store read
+        # The latest clock reading received from each peer, acknowledged in heartbeats to it.
         self.acknowledged_readings: dict[str, ClockReading] = {}
 
     def record_store_read(self, sent_at: float) -> None:
-        """The response to a reading of the store that was sent then has come."""
+        """Record the request time of a completed store read."""
         self._last_read_at = max(self._last_read_at, sent_at)
 
     def record_peer_heartbeat(
@@ -62,17 +61,17 @@
         node: str,
         made_at: ClockReading,
         acknowledged: dict[str, ClockReading],
-        names_all: bool,
+        lists_all_cancelled: bool,
         now: float,
     ) -> None:
-        """Take in a heartbeat of another controller.
+        """Record a heartbeat of another controller.
 
         Args:
-            node: its sender.
-            made_at: when its sender made it, on the sender's clock.
-            acknowledged: by controller, the latest clock reading that its sender received.
-            names_all: whether it names all cancelled jobs that its sender knows.
-            now: when it came.
+            node: the sender.
+            made_at: when the heartbeat was made, on the sender's clock.
+            acknowledged: by controller, the latest clock reading that the sender received.
+            lists_all_cancelled: whether it lists all cancelled jobs that the sender knows.
+            now: when the heartbeat arrived.
         """
         peer = self._peers.get(node)
         if peer is None:
@@ -81,47 +80,49 @@
         if peer.process != made_at.process:
             peer.process, peer.first_heartbeat_at = made_at.process, now
             peer.known_until = -math.inf
-        ours = acknowledged.get(self._node)
-        if names_all and ours is not None and ours.process == self._process:
-            peer.known_until = max(peer.known_until, ours.at)
+        own_reading = acknowledged.get(self._node)
+        if lists_all_cancelled and own_reading is not None and own_reading.process == self._process:
+            peer.known_until = max(peer.known_until, own_reading.at)
 
     def _known_until(self, peer: _Peer) -> float:
-        """All cancellations that this peer, in any process, confirmed up to then are known here."""
-        # Strictly: a process that ended and was replaced within the clock's resolution would pass
-        # else, and what it had confirmed be missed.  Found by the search of the model.
+        """Return the time up to which all confirmations of a peer, in any process, are known."""
+        # Strictly less: otherwise the confirmations of a process that was replaced within the
+        # clock's resolution would be missed.
         if peer.first_heartbeat_at < self._last_read_at:
             return peer.known_until
         return -math.inf
 
     def cancellations_known_until(self) -> float:
-        """All cancellations that were confirmed to users up to then are known here."""
+        """Return the time up to which all cancellations confirmed to users are known here."""
         if self._last_read_at == -math.inf:
             return -math.inf
-        # Without peers we have confirmed them all ourselves.
-        by_peers = min((self._known_until(peer) for peer in self._peers.values()), default=math.inf)
-        return max(self._last_read_at, by_peers)
+        # Without peers, this controller confirmed all cancellations itself.
+        peers_known_until = min(
+            (self._known_until(peer) for peer in self._peers.values()), default=math.inf
+        )
+        return max(self._last_read_at, peers_known_until)
 
     def permits_renewal(self, now: float, late_start_known_until: float = math.inf) -> bool:
-        """Whether a heartbeat may be answered, so that the agent's lease is renewed.
+        """Return whether a heartbeat may be answered, which renews the agent's lease.
 
         Args:
-            now: when the answer is decided on.
-            late_start_known_until: up to when cancellations were known when a start was sent that
-                may still arrive at the agent; infinite: there is none.
+            now: the current time.
+            late_start_known_until: for a start that may still be delivered to the agent, the time
+                up to which cancellations were known when it was sent; infinite if there is none.
         """
         known_until = min(self.cancellations_known_until(), late_start_known_until)
         return now - known_until <= self._max_age_s
 
     def explain(self, now: float) -> str:
-        """Why leases may not be renewed, or on what their renewal rests."""
+        """Return a log text with the state that permits or suspends renewals."""
         missing = [
-            f"{name} not for {now - known_until:.1f} s"
+            f"{name} unknown for {now - known_until:.1f} s"
             if known_until > -math.inf
-            else f"{name} not since then"
+            else f"{name} unknown"
             for name, peer in self._peers.items()
             if now - (known_until := self._known_until(peer)) > self._max_age_s
         ]
         return (
-            f"the store was last read {now - self._last_read_at:.1f} s ago; cancellations "
-            f"confirmed by the other controllers since: {', '.join(missing) or 'all known'}"
+            f"last store read {now - self._last_read_at:.1f} s ago; cancellations confirmed "
+            f"by other controllers since the read: {', '.join(missing) or 'all known'}"
         )
--- a/src/sandladder/agents/reconciler.py
+++ b/src/sandladder/agents/reconciler.py
@@ -1,7 +1,7 @@
-"""Reconciliation of the agents with the records: what a heartbeat proves, which commands follow.
+"""Reconciliation of agents with the records.
 
-Committed starts say what should be on a machine, its agent's heartbeat says what is, and the
-difference is the commands.  Pure: no I/O, no clock.
+Committed starts define the desired tasks on a machine, and its agent's heartbeat reports the actual
+ones.  The difference yields commands and proved ends.  Performs no I/O and reads no clock.
 """
 
 from typing import NamedTuple
@@ -22,23 +22,23 @@
 
 
 class HeartbeatResult(NamedTuple):
-    """What became of a heartbeat; `is_new`: none made later was known."""
+    """The agent of a heartbeat, and whether the heartbeat is newer than the latest known one."""
 
     agent: AgentSession
     is_new: bool
 
 
 class Reconciler:
-    """Heartbeats in, commands and proved ends out, under the controller's current fencing token."""
+    """Derives commands and proved ends from heartbeats, under the current fencing token."""
 
     def __init__(self) -> None:
-        self.fencing_token = 0  # this controller's fencing token; 0: it has none yet
-        # The first of our tokens since another controller last took one.
+        self.fencing_token = 0  # 0 before this controller acquires one
+        # The first of this controller's tokens after the last one acquired by another controller.
         self._first_consecutive_token = 0
-        self.agents: dict[str, AgentSession] = {}  # the agents, by machine
+        self.agents: dict[str, AgentSession] = {}  # by machine
 
     def adopt_fencing_token(self, token: int) -> None:
-        """Adopt a later fencing token; a gap in the numbers: another controller took one."""
+        """Adopt a later fencing token; after a gap, another controller acquired one in between."""
         if token != self.fencing_token + 1:
             self._first_consecutive_token = token
         self.fencing_token = token
@@ -49,44 +49,46 @@
     def receive_heartbeat(
         self, heartbeat: AgentHeartbeat, now: float, *, direct: bool
     ) -> HeartbeatResult:
-        """Take in a heartbeat; `direct`: it came as the response to a command of ours.
+        """Process a heartbeat; `direct` marks the response to a direct command.
 
-        One that the network held back changes nothing: its task list is as old as it is.
+        A heartbeat older than the latest known one is ignored, as its task list is outdated.
         """
         agent = self.agents.get(heartbeat.machine)
         if agent is None:
             agent = self.agents[heartbeat.machine] = AgentSession(heartbeat)
         elif not agent.is_newer(heartbeat):
             return HeartbeatResult(agent, False)
-        agent.take_in(heartbeat, now, direct=direct)
+        agent.apply_heartbeat(heartbeat, now, direct=direct)
         if self._first_consecutive_token <= heartbeat.fencing_token <= self.fencing_token:
             agent.accept_token()
         else:
             agent.revoke_token()
         if (
-            agent.stale_start_token is not None
-            and heartbeat.fencing_token > agent.stale_start_token
+            agent.unanswered_start_token is not None
+            and heartbeat.fencing_token > agent.unanswered_start_token
         ):
             agent.rule_out_late_start()
         return HeartbeatResult(agent, True)
 
     def revoke_token(self, machine: str) -> None:
-        """The agent refused our fencing token or reports to another controller."""
+        """Record that an agent may reject this controller's fencing token."""
         agent = self.agents.get(machine)
         if agent is not None:
             agent.revoke_token()
 
-    def forget_silent_agents(self, now: float, after_s: float) -> None:
-        """Drop the agents without any heartbeat for so many seconds."""
-        silent = [m for m, agent in self.agents.items() if now - agent.last_seen_at > after_s]
+    def remove_silent_agents(self, now: float, after_s: float) -> None:
+        """Remove the agents without a heartbeat for more than `after_s` seconds."""
+        silent = [
+            machine for machine, agent in self.agents.items() if now - agent.last_seen_at > after_s
+        ]
         for machine in silent:
             del self.agents[machine]
 
     def response_commands(self, agent: AgentSession, cache: StateCache) -> list[Command]:
-        """The commands in the response to the latest heartbeat.
+        """Return the commands for the response to the latest heartbeat.
 
-        The agent's lease is renewed with that, so whatever runs there of a cancelled job is stopped
-        with it, whether or not the agent accepts our token: stopping that can never be wrong.
+        The response renews the agent's lease, so it also stops the tasks of cancelled jobs.  That
+        is safe even if the agent has not accepted this controller's token.
         """
         if not (agent.accepts_token and agent.synced):
             return [
@@ -96,15 +98,15 @@
             ]
         commands = self.commands(agent, cache)
         if agent.command_in_flight:
-            # It may carry the same starts; and with a start of it still to arrive, forgetting an
-            # exited attempt would run it again.
+            # The command in flight may carry the same starts, and forgetting an exited attempt
+            # before a late start is delivered would run the attempt again.
             return [command for command in commands if command.operation == STOP]
         return commands
 
     def commands(self, agent: AgentSession, cache: StateCache) -> list[Command]:
-        """What the agent should be commanded, while no other command is in flight.
+        """Return the commands for an agent that has no other command in flight.
 
-        Nothing until it surely accepts our token and our records are newer than that.
+        Empty until the agent accepts this controller's token and the cache was read after that.
         """
         if not (agent.accepts_token and agent.synced):
             return []
@@ -112,12 +114,12 @@
         starts: list[Command] = []
         committed: set[AttemptKey] = set()
         for job, task, attempt in cache.attempts_on(agent.heartbeat.machine):
-            if attempt.agent_epoch != agent.session:
+            if attempt.agent_epoch != agent.agent_epoch:
                 continue
             key = (job.id, task, attempt.attempt)
             committed.add(key)
             if JOB_PREFIX + job.id in cache.unreadable:
-                continue  # what is to become of it is not known
+                continue  # the desired state of the job is unknown
             command = _command_for(key, agent, _stop_grace_s(job, attempt, cache))
             if command is not None:
                 (starts if command.operation == START else stops).append(command)
@@ -129,7 +131,7 @@
     def _commands_for_uncommitted(
         agent: AgentSession, cache: StateCache, committed: set[AttemptKey]
     ) -> tuple[list[Command], list[Command]]:
-        """What to forget and what to stop of the reported tasks without a committed start."""
+        """Return the forget and stop commands for reported tasks without a committed start."""
         forgets: list[Command] = []
         stops: list[Command] = []
         for key, task in agent.reported_tasks.items():
@@ -137,66 +139,70 @@
                 continue
             if task.state != TASK_EXITED:
                 stops.append(Command(STOP, *key))
-            elif not agent.start_may_be_late:
-                # With a start of it still to arrive, forgetting would run it again.
+            elif not agent.late_start_possible:
+                # Forgetting the attempt before a late start is delivered would run it again.
                 forgets.append(Command(FORGET, *key))
         return forgets, stops
 
     def proved_ends(self, agent: AgentSession, cache: StateCache) -> list[EndedAttempt]:
-        """The attempts whose end this agent's latest heartbeat proves."""
-        found = []
+        """Return the attempts whose end is proved by the agent's latest heartbeat."""
+        ended = []
         for job, task, attempt in cache.attempts_on(agent.heartbeat.machine):
-            if attempt.agent_epoch < agent.session:
-                found.append(EndedAttempt(job.id, task, attempt, OUTCOME_LOST))
-            elif attempt.agent_epoch == agent.session:
+            if attempt.agent_epoch < agent.agent_epoch:
+                ended.append(EndedAttempt(job.id, task, attempt, OUTCOME_LOST))
+            elif attempt.agent_epoch == agent.agent_epoch:
                 reported = agent.reported_tasks.get((job.id, task, attempt.attempt))
                 if reported is not None and reported.state == TASK_EXITED:
                     outcome = OUTCOME_CHECKPOINTED if reported.saved else reported.cause
-                    found.append(EndedAttempt(job.id, task, attempt, outcome))
-        return found
+                    ended.append(EndedAttempt(job.id, task, attempt, outcome))
+        return ended
 
     def proved_never_started(
         self, agent: AgentSession, cache: StateCache, sent: list[Command], token: int
     ) -> list[EndedAttempt]:
-        """Stopped attempts that the response to the commands sent under a token shows absent.
+        """Return the stopped attempts that are absent from the response to sent commands.
 
-        The response shows that the agent accepted our token after the stop was committed.
-        Whoever commands it later will see the stop; whoever did before is refused; and no
-        start of our own is still to arrive.
+        The response proves that the agent accepted `token` after the stop was committed.  Later
+        controllers read the stop, commands of earlier controllers are rejected, and no start of
+        this controller can still be delivered.
         """
-        if agent.start_may_be_late or agent.heartbeat.fencing_token != token:
+        if agent.late_start_possible or agent.heartbeat.fencing_token != token:
             return []
-        stopped = {(c.job, c.task, c.attempt) for c in sent if c.operation == STOP}
-        found = []
+        stopped = {
+            (command.job, command.task, command.attempt)
+            for command in sent
+            if command.operation == STOP
+        }
+        never_started = []
         for job, task, attempt in cache.attempts_on(agent.heartbeat.machine):
             key = (job.id, task, attempt.attempt)
             if (
                 key in stopped
                 and key not in agent.reported_tasks
-                and attempt.agent_epoch == agent.session
+                and attempt.agent_epoch == agent.agent_epoch
                 and _stop_grace_s(job, attempt, cache) is not None
             ):
-                found.append(EndedAttempt(job.id, task, attempt, OUTCOME_NEVER_STARTED))
-        return found
+                never_started.append(EndedAttempt(job.id, task, attempt, OUTCOME_NEVER_STARTED))
+        return never_started
 
 
 def _command_for(key: AttemptKey, agent: AgentSession, grace_s: float | None) -> Command | None:
-    """The command for an attempt with a committed start; `grace_s`: None lets it run."""
+    """Return the command for a committed attempt; `grace_s` None means that it should run."""
     reported = agent.reported_tasks.get(key)
     if reported is None:
         if grace_s is not None:
             return Command(STOP, *key, grace_s=grace_s)
-        # An attempt seen before and gone now was forgotten by command of a controller that had
-        # its end committed: starting it again would run it twice.
+        # An attempt that was reported before was forgotten by command of a controller that had
+        # committed its end; another start would run it twice.
         return None if key in agent.seen_attempts else Command(START, *key)
     if grace_s is None or reported.state == TASK_EXITED:
         return None
     if reported.state == TASK_SAVING and grace_s > 0:
-        return None  # it is stopping already, with its grace
+        return None  # already stopping, within its grace period
     return Command(STOP, *key, grace_s=grace_s)
 
 
 def _stop_grace_s(job: Job, attempt: Attempt, cache: StateCache) -> float | None:
-    """With how many seconds of grace this attempt is to be stopped, or None to let it run."""
-    # What a cancelled job's tasks do is of no use to anyone.
+    """Return the grace period for stopping an attempt, in seconds, or None if it should run."""
+    # Tasks of a cancelled job need no checkpoint.
     return 0.0 if cache.is_cancelled(job.id) else attempt.stop
--- a/src/sandladder/agents/reporting_agents.py
+++ b/src/sandladder/agents/reporting_agents.py
@@ -1,4 +1,4 @@
-"""What the controller's machine inventory says of the agents that report to it."""
+"""The agents in this controller's machine inventory."""
 
 from collections.abc import Callable
 
@@ -8,12 +8,12 @@
 from sandladder.membership import AgentInventory
 from sandladder.model import MachineStatus
 
-# Images that the inventory names of each machine at the most, the latest.
-_LISTED_IMAGES = 4
+# Maximum number of images listed per machine; the most recently used ones are listed.
+_MAX_LISTED_IMAGES = 4
 
 
 class ReportingAgents:
-    """The agents that this controller answered of late, with what is known of their machines."""
+    """The agents that this controller answered recently, with the status of their machines."""
 
     def __init__(
         self,
@@ -22,14 +22,15 @@
         images: Callable[[str, int], list[str]],
         advance_time: Callable[[], float],
     ) -> None:
-        """Read from the collaborators whenever asked.
+        """Set the sources of the inventory.
 
         Args:
-            lease_expiry: knows which agents were answered, and when.
-            reconciler: knows the agents' sessions.
-            images: those that a machine has in a session, the most recently used last.
-            advance_time: sets the moment as of which the cluster view answers to now, on the steady
-                clock, and returns it, in seconds.
+            lease_expiry: holds the answered agents and the times of the answers.
+            reconciler: holds the agents' sessions.
+            images: returns the images cached on a machine in an agent epoch, the most recently used
+                last.
+            advance_time: sets the evaluation time of the cluster view to the current time on the
+                steady clock and returns it, in seconds.
         """
         self._lease_expiry = lease_expiry
         self._reconciler = reconciler
@@ -37,7 +38,7 @@
         self._advance_time = advance_time
 
     def inventory(self) -> AgentInventory:
-        """The agents as of now."""
+        """Return the current inventory."""
         now = self._advance_time()
         machines = {}
         for machine in self._lease_expiry.answered_machines():
@@ -57,5 +58,5 @@
             age_s=round(age_s, 2),
             notice_s=None if notice_at is None else round(notice_at - now, 1),
             errors=len(agent.failed_jobs),
-            images=tuple(self._images(machine, heartbeat.agent_epoch)[-_LISTED_IMAGES:]),
+            images=tuple(self._images(machine, heartbeat.agent_epoch)[-_MAX_LISTED_IMAGES:]),
         )
--- a/tests/test_agent_service.py
+++ b/tests/test_agent_service.py
@@ -1,4 +1,4 @@
-"""The parts of the agent service: commands sent directly, renewal of leases, isolation."""
+"""Tests of the agent service: direct commands, lease renewal, detection of isolation."""
 
 import asyncio
 import logging
@@ -29,12 +29,12 @@
 
 
 def heartbeat(seq: int = 1, token: int = TOKEN) -> AgentHeartbeat:
-    """A heartbeat of the agent on vm-1, which runs nothing."""
+    """Return a heartbeat without tasks from the agent on vm-1."""
     return AgentHeartbeat("vm-1", "vm-1:1", "small", "north", False, 1, seq, token, None, ())
 
 
 def heartbeat_body(seq: int, token: int = TOKEN, machine: str = "vm-1") -> bytes:
-    """The same as an agent writes it."""
+    """Return the wire format of a heartbeat without tasks."""
     return cbor2.dumps(
         {
             "rung": machine, "addr": "vm-1:1", "breed": "small", "district": "north",
@@ -44,7 +44,7 @@
 
 
 class ScriptedAgent:
-    """Serves commands with the responses that a test names, one after the other."""
+    """A fake HTTP client that returns the given responses in order."""
 
     def __init__(self, *responses: Response | HttpError) -> None:
         self.responses = list(responses)
@@ -69,8 +69,8 @@
         self.closed += 1
 
 
-class Scene:
-    """A command sender for the agent on vm-1, to which one task is committed."""
+class CommandSenderFixture:
+    """A command sender for the agent on vm-1, with one committed start on vm-1."""
 
     def __init__(self, agent: ScriptedAgent, background: BackgroundTasks) -> None:
         self.cache, self.reconciler = StateCache(), Reconciler()
@@ -99,13 +99,13 @@
         )
 
     def cancel_job(self) -> None:
-        """Commit the cancellation of the task's job."""
+        """Commit the cancellation of the job."""
         transaction = Transaction(self.cache)
         cancel(transaction, "job-000001", 0.0)
         commit(self.cache, transaction)
 
     async def finish_sending(self) -> None:
-        """Return once no command is in flight."""
+        """Wait until no command is in flight."""
         with anyio.fail_after(10.0):
             while self.session.command_in_flight:
                 await anyio.sleep(0.001)
@@ -115,69 +115,71 @@
         self.reconciler.receive_heartbeat(heartbeat, clock.now(), direct=direct)
 
 
-def run(agent: ScriptedAgent, steps: Callable[[Scene], Awaitable[None]]) -> None:
-    """Run a test's steps with a sender, and wait for what it has in the background."""
+def run_with_sender(
+    agent: ScriptedAgent, steps: Callable[[CommandSenderFixture], Awaitable[None]]
+) -> None:
+    """Run the steps of a test with a command sender, and wait for its background tasks."""
 
     async def main() -> None:
         async with anyio.create_task_group() as tasks:
             background = BackgroundTasks()
             background.open(tasks)
-            await steps(Scene(agent, background))
+            await steps(CommandSenderFixture(agent, background))
 
     asyncio.run(main())
 
 
 def operations(request: Request) -> list[str]:
-    """The verbs of a command as the protocol spells them."""
+    """Return the operations of a request, in their wire format."""
     return [order["verb"] for order in cbor2.loads(request.body)["orders"]]
 
 
-def test_an_unanswered_start_is_late_until_ruled_out_and_bounds_the_renewal() -> None:
+def test_an_unanswered_start_may_be_late_and_limits_renewal_until_a_later_token() -> None:
     agent = ScriptedAgent(HttpError("no answer within 0.04 s"))
 
-    async def steps(scene: Scene) -> None:
-        known_until = scene.guard.cancellations_known_until()
-        scene.sender.send_commands(scene.session)
-        assert scene.session.command_in_flight
-        await scene.finish_sending()
-        scene.guard.record_store_read(clock.now())
-        assert scene.session.stale_start_token == TOKEN
-        assert scene.session.late_start_known_until == known_until
-        scene.reconciler.adopt_fencing_token(TOKEN + 1)
-        scene.reconciler.receive_heartbeat(heartbeat(2, TOKEN + 1), clock.now(), direct=False)
-        assert not scene.session.start_may_be_late
-        assert scene.session.late_start_known_until == math.inf
-
-    run(agent, steps)
+    async def steps(fixture: CommandSenderFixture) -> None:
+        known_until = fixture.guard.cancellations_known_until()
+        fixture.sender.send_commands(fixture.session)
+        assert fixture.session.command_in_flight
+        await fixture.finish_sending()
+        fixture.guard.record_store_read(clock.now())
+        assert fixture.session.unanswered_start_token == TOKEN
+        assert fixture.session.late_start_known_until == known_until
+        fixture.reconciler.adopt_fencing_token(TOKEN + 1)
+        fixture.reconciler.receive_heartbeat(heartbeat(2, TOKEN + 1), clock.now(), direct=False)
+        assert not fixture.session.late_start_possible
+        assert fixture.session.late_start_known_until == math.inf
+
+    run_with_sender(agent, steps)
     assert [operations(request) for request in agent.requests] == [["run"]]
 
 
-def test_an_answered_start_is_not_repeated_before_the_next_heartbeat() -> None:
+def test_an_answered_start_is_not_sent_again_before_the_next_heartbeat() -> None:
     agent = ScriptedAgent(Response(200, heartbeat_body(2)))
 
-    async def steps(scene: Scene) -> None:
-        scene.sender.send_commands(scene.session)
-        scene.sender.send_commands(scene.session)  # one batch at a time
-        await scene.finish_sending()
-        assert scene.session.stale_start_token is None
-        assert scene.session.late_start_known_until == math.inf
+    async def steps(fixture: CommandSenderFixture) -> None:
+        fixture.sender.send_commands(fixture.session)
+        fixture.sender.send_commands(fixture.session)  # one batch at a time
+        await fixture.finish_sending()
+        assert fixture.session.unanswered_start_token is None
+        assert fixture.session.late_start_known_until == math.inf
 
-    run(agent, steps)
+    run_with_sender(agent, steps)
     assert len(agent.requests) == 1 and agent.addresses == [("vm-1", 1)]
 
 
-def test_a_stopped_attempt_that_the_response_lacks_is_proved_never_started() -> None:
+def test_a_stopped_attempt_absent_from_the_response_is_proved_never_started() -> None:
     agent = ScriptedAgent(Response(200, heartbeat_body(2)))
 
-    async def steps(scene: Scene) -> None:
-        scene.cancel_job()
-        scene.sender.send_commands(scene.session)
-        await scene.finish_sending()
-        assert [(end.job, end.task, end.outcome) for end in scene.ended] == [
+    async def steps(fixture: CommandSenderFixture) -> None:
+        fixture.cancel_job()
+        fixture.sender.send_commands(fixture.session)
+        await fixture.finish_sending()
+        assert [(end.job, end.task, end.outcome) for end in fixture.ended] == [
             ("job-000001", 0, "never")
         ]
 
-    run(agent, steps)
+    run_with_sender(agent, steps)
     assert [operations(request) for request in agent.requests] == [["halt"]]
 
 
@@ -190,39 +192,39 @@
         Response(200, heartbeat_body(2, TOKEN - 1)),
         Response(409, heartbeat_body(2, TOKEN + 1)),
     ],
-    ids=["none", "malformed", "of another machine", "under another token", "refused"],
+    ids=["timeout", "malformed", "another machine", "another token", "rejected"],
 )
-def test_no_other_response_proves_that_a_stopped_attempt_never_started(
+def test_a_failed_command_does_not_prove_that_a_stopped_attempt_never_started(
     response: Response | HttpError,
 ) -> None:
     agent = ScriptedAgent(response)
 
-    async def steps(scene: Scene) -> None:
-        scene.cancel_job()
-        scene.sender.send_commands(scene.session)
-        await scene.finish_sending()
-        assert not scene.ended
+    async def steps(fixture: CommandSenderFixture) -> None:
+        fixture.cancel_job()
+        fixture.sender.send_commands(fixture.session)
+        await fixture.finish_sending()
+        assert not fixture.ended
 
-    run(agent, steps)
+    run_with_sender(agent, steps)
     assert len(agent.requests) == 1
 
 
-@pytest.mark.parametrize("seq", [1, 2], ids=["overtaken", "latest"])
-def test_an_agent_that_refuses_the_token_is_sent_nothing_more(seq: int) -> None:
+@pytest.mark.parametrize("seq", [1, 2], ids=["not newer", "newer"])
+def test_an_agent_that_rejects_the_token_is_sent_no_more_commands(seq: int) -> None:
     agent = ScriptedAgent(Response(409, heartbeat_body(seq, TOKEN + 1)))
 
-    async def steps(scene: Scene) -> None:
-        scene.sender.send_commands(scene.session)
-        await scene.finish_sending()
-        assert not scene.session.accepts_token
-        scene.sender.send_commands(scene.session)
-        await scene.finish_sending()
+    async def steps(fixture: CommandSenderFixture) -> None:
+        fixture.sender.send_commands(fixture.session)
+        await fixture.finish_sending()
+        assert not fixture.session.accepts_token
+        fixture.sender.send_commands(fixture.session)
+        await fixture.finish_sending()
 
-    run(agent, steps)
+    run_with_sender(agent, steps)
     assert len(agent.requests) == 1
 
 
-def test_clients_of_forgotten_machines_are_closed() -> None:
+def test_clients_of_removed_machines_are_closed() -> None:
     agent = ScriptedAgent()
 
     async def main() -> None:
@@ -235,7 +237,7 @@
     assert agent.addresses == [("vm-1", 1), ("vm-2", 1)] and agent.closed == 1
 
 
-def test_a_lease_is_renewed_only_while_our_own_lasts_and_cancellations_are_known(
+def test_a_lease_is_renewed_only_with_a_valid_controller_lease_and_known_cancellations(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     async def main() -> None:
@@ -266,14 +268,12 @@
 @pytest.mark.parametrize(
     ("agents", "others_have_agents", "isolated"),
     [(4, True, True), (3, True, False), (4, False, False)],
-    ids=["several were lost", "few were lost", "others have none either"],
+    ids=["enough agents lost", "too few agents lost", "no agents report elsewhere"],
 )
-def test_a_controller_is_isolated_when_several_agents_reach_others_alone(
+def test_a_controller_is_isolated_when_it_lost_several_agents_that_report_elsewhere(
     agents: int, others_have_agents: bool, isolated: bool
 ) -> None:
-    """Seen in a measured day: one took its own isolation for the agents' silence, and 136 machines
-    were returned.
-    """
+    """Guards against an isolated controller that returns healthy machines to the cloud."""
     membership = SimpleNamespace(agents_report_elsewhere=lambda: others_have_agents)
     group = SimpleNamespace(node="node-0", membership=membership)
     cluster = SimpleNamespace(observation=lambda machine: None, fresh_s=2.5 * WORKERS.report_s)
