--- a/src/sandladder/agents/agent_session.py
+++ b/src/sandladder/agents/agent_session.py
@@ -35,9 +35,9 @@
         self.unanswered_start_token: int | None = None
         # A start was sent in a heartbeat response that the agent may not have received yet.
         self.start_in_response = False
-        # For a start that may still be delivered: all cancellations confirmed before this time
-        # were known when it was sent.  Infinite if there is no such start.
-        self.late_start_known_until = math.inf
+        # The time up to which cancellations were known when a start was sent that may still be
+        # delivered; infinite without such a start.
+        self.late_start_cancellations_known_until = math.inf
         self.command_in_flight = False
         self.failed_jobs: set[str] = set()  # jobs that failed here since the last success
         self._counted_exits: set[AttemptKey] = set()
@@ -88,10 +88,10 @@
         self.accepts_token = self.synced = False
 
     def rule_out_late_start(self) -> None:
-        """Record that no earlier direct start can be delivered any more."""
+        """Record that no earlier direct start can still be delivered."""
         self.unanswered_start_token = None
         if not self.command_in_flight:
-            self.late_start_known_until = math.inf
+            self.late_start_cancellations_known_until = math.inf
 
     def _begin_epoch(self) -> None:
         """Discard the state of the previous epoch, all of whose tasks have ended."""
--- a/src/sandladder/agents/collaborators.py
+++ b/src/sandladder/agents/collaborators.py
@@ -43,7 +43,7 @@
 
     @property
     def fresh_s(self) -> float:
-        """How long an agent counts as reporting here after a heartbeat, in seconds."""
+        """The time for which an agent counts as reporting here after a heartbeat, in seconds."""
 
     def observation(self, machine: str) -> Observation | None:
         """Return the latest observation of a machine, or None if there is none."""
--- a/src/sandladder/agents/command_sender.py
+++ b/src/sandladder/agents/command_sender.py
@@ -114,7 +114,9 @@
         batch = _CommandBatch(self._reconciler.fencing_token, commands)
         if batch.has_start:
             known_until = self._renewal_guard.cancellations_known_until()
-            agent.late_start_known_until = min(agent.late_start_known_until, known_until)
+            agent.late_start_cancellations_known_until = min(
+                agent.late_start_cancellations_known_until, known_until
+            )
         response = await self._request(agent, batch)
         if response is None:
             if batch.has_start:
@@ -155,7 +157,7 @@
             return False
         self._intake.receive(heartbeat, direct=True)
         if agent.unanswered_start_token is None:
-            agent.late_start_known_until = math.inf
+            agent.late_start_cancellations_known_until = math.inf
         if response.status != _OK:
             if heartbeat.fencing_token > batch.token:
                 self._reconciler.revoke_token(machine)
--- a/src/sandladder/agents/lease_renewal.py
+++ b/src/sandladder/agents/lease_renewal.py
@@ -38,7 +38,7 @@
         now = clock.now()
         if not self._controller_lease.alive():
             return False
-        if not self._renewal_guard.permits_renewal(now, agent.late_start_known_until):
+        if not self._renewal_guard.permits_renewal(now, agent.late_start_cancellations_known_until):
             return False
         self._lease_expiry.record_answer(agent.heartbeat.machine, now)
         return True
--- a/src/sandladder/agents/lease_renewal_guard.py
+++ b/src/sandladder/agents/lease_renewal_guard.py
@@ -102,15 +102,17 @@
         )
         return max(self._last_read_at, peers_known_until)
 
-    def permits_renewal(self, now: float, late_start_known_until: float = math.inf) -> bool:
+    def permits_renewal(
+        self, now: float, late_start_cancellations_known_until: float = math.inf
+    ) -> bool:
         """Return whether a heartbeat may be answered, which renews the agent's lease.
 
         Args:
             now: the current time.
-            late_start_known_until: for a start that may still be delivered to the agent, the time
-                up to which cancellations were known when it was sent; infinite if there is none.
+            late_start_cancellations_known_until: the time up to which cancellations were known when
+                a start was sent that may still be delivered to the agent; infinite without one.
         """
-        known_until = min(self.cancellations_known_until(), late_start_known_until)
+        known_until = min(self.cancellations_known_until(), late_start_cancellations_known_until)
         return now - known_until <= self._max_age_s
 
     def explain(self, now: float) -> str:
--- a/tests/test_agent_service.py
+++ b/tests/test_agent_service.py
@@ -144,11 +144,11 @@
         await fixture.finish_sending()
         fixture.guard.record_store_read(clock.now())
         assert fixture.session.unanswered_start_token == TOKEN
-        assert fixture.session.late_start_known_until == known_until
+        assert fixture.session.late_start_cancellations_known_until == known_until
         fixture.reconciler.adopt_fencing_token(TOKEN + 1)
         fixture.reconciler.receive_heartbeat(heartbeat(2, TOKEN + 1), clock.now(), direct=False)
         assert not fixture.session.late_start_possible
-        assert fixture.session.late_start_known_until == math.inf
+        assert fixture.session.late_start_cancellations_known_until == math.inf
 
     run_with_sender(agent, steps)
     assert [operations(request) for request in agent.requests] == [["run"]]
@@ -162,7 +162,7 @@
         fixture.sender.send_commands(fixture.session)  # one batch at a time
         await fixture.finish_sending()
         assert fixture.session.unanswered_start_token is None
-        assert fixture.session.late_start_known_until == math.inf
+        assert fixture.session.late_start_cancellations_known_until == math.inf
 
     run_with_sender(agent, steps)
     assert len(agent.requests) == 1 and agent.addresses == [("vm-1", 1)]
@@ -251,9 +251,11 @@
         guard.record_store_read(clock.now())
         assert renewer.permitted() and renewer.renew(agent)
         assert expiry.answered_machines() == ["vm-1"]
-        agent.late_start_known_until = clock.now() - WORKERS.cancellation_knowledge_age_s - 0.1
+        agent.late_start_cancellations_known_until = (
+            clock.now() - WORKERS.cancellation_knowledge_age_s - 0.1
+        )
         assert renewer.permitted() and not renewer.renew(agent)
-        agent.late_start_known_until = math.inf
+        agent.late_start_cancellations_known_until = math.inf
         controller_lease.alive = lambda: False
         assert not renewer.permitted() and not renewer.renew(agent)
 
--- a/tests/test_reconciliation.py
+++ b/tests/test_reconciliation.py
@@ -115,11 +115,11 @@
     guard = LeaseRenewalGuard("node-0", ["node-1"], 1, workers)
     guard.record_store_read(100.0)
     agent.unanswered_start_token = 5
-    agent.late_start_known_until = guard.cancellations_known_until()
+    agent.late_start_cancellations_known_until = guard.cancellations_known_until()
     guard.record_store_read(100.0 + workers.cancellation_knowledge_age_s)
     later = 101.0 + workers.cancellation_knowledge_age_s
     assert guard.permits_renewal(later)
-    assert not guard.permits_renewal(later, agent.late_start_known_until)
+    assert not guard.permits_renewal(later, agent.late_start_cancellations_known_until)
     reconciler.adopt_fencing_token(6)
     reconciler.receive_heartbeat(heartbeat(2, 6), later, direct=False)
-    assert guard.permits_renewal(later, agent.late_start_known_until)
+    assert guard.permits_renewal(later, agent.late_start_cancellations_known_until)
