--- a/src/sandladder/scheduling/__init__.py
+++ b/src/sandladder/scheduling/__init__.py
@@ -1,13 +1,13 @@
-"""Which task starts on which machine, and whether that decision still stands.
+"""Placement of tasks on machines, and revalidation of each placement until it is committed.
 
 Owns the cluster view (machine observations, free capacity, image caches, job priorities), the
-pending starts with their premises, the reservations, and the choice of tasks to preempt or move.
-All of it is this process' memory, derived from the state cache, inventories and heartbeats.
+pending starts with their premises, the reservations, and the choice of tasks to preempt or evict.
+All of it is in-memory state, derived from the state cache, inventories and heartbeats.
 
-A round: `Planner.plan` places waiting tasks and admits pending starts to the `Gate`, which
-revalidates them as things change and once more before the commit.  `fill` answers for autoscaling
-what would fit.  Nothing here does I/O, reads a clock, writes a record or sends a command, and no
-decision is final: what is committed is up to `sandladder.jobs`.
+In each round, `Planner.plan` places waiting tasks and admits pending starts to the `Gate`, which
+revalidates them when the view changes and once more before the commit.  `pack` tells autoscaling
+how many tasks fit into given machines.  Nothing here does I/O, reads a clock, writes a record or
+sends a command, and no decision is final: `sandladder.jobs` commits it.
 """
 
 from sandladder.scheduling.bin_packing import Backlog, Bin, Shortage, ZoneQuota, pack
--- a/src/sandladder/scheduling/bin_packing.py
+++ b/src/sandladder/scheduling/bin_packing.py
@@ -1,7 +1,4 @@
-"""Bin packing of tasks into machines: what fits, and which tasks are left over.
-
-First fit over bins, one for each machine that is there, boots, or would be rented.  Pure.
-"""
+"""First-fit bin packing of tasks into machines that run, boot, or would be rented.  Pure."""
 
 from collections import Counter
 from typing import NamedTuple
@@ -11,58 +8,64 @@
 
 
 class Bin:
-    """What is free on a machine that is there, boots, or would be rented."""
+    """The free capacity of a machine that runs, boots, or would be rented."""
 
     __slots__ = ("cpus", "gpus", "kind", "memory_gb", "offer")
 
     def __init__(self, kind: MachineType, zone: str, spot: bool) -> None:
-        """An empty machine of a type."""
+        """Create the bin of an empty machine."""
         self.kind = kind
         self.offer = machine_offer(kind.name, zone, spot)
         self.cpus, self.gpus, self.memory_gb = kind.cpus, kind.gpus, kind.memory_gb
 
-    def tasks_that_fit(self, spec: JobSpec, most: int, keep_gpus: bool = False) -> int:
-        """How many tasks of a job fit.
+    def tasks_that_fit(self, spec: JobSpec, limit: int, keep_gpus: bool = False) -> int:
+        """Return how many tasks of a job fit.
 
         Args:
             spec: the job.
-            most: up to how many.
-            keep_gpus: whether they leave free GPUs the cores and memory that belong to these.
+            limit: the most tasks to count.
+            keep_gpus: whether the cores and memory that belong to free GPUs stay unused.
         """
         cpus, memory_gb = self.cpus, self.memory_gb
         if keep_gpus and self.gpus > 0:
             share = self.gpus / self.kind.gpus
             cpus -= share * self.kind.cpus
             memory_gb -= share * self.kind.memory_gb
-        number = min(most, int((cpus + EPSILON) / spec.cpus))
+        count = min(limit, int((cpus + EPSILON) / spec.cpus))
         if spec.gpus > 0:
-            number = min(number, int((self.gpus + EPSILON) / spec.gpus))
+            count = min(count, int((self.gpus + EPSILON) / spec.gpus))
         if spec.memory_gb > 0:
-            number = min(number, int((memory_gb + EPSILON) / spec.memory_gb))
-        return max(0, number)
+            count = min(count, int((memory_gb + EPSILON) / spec.memory_gb))
+        return max(0, count)
 
-    def take(self, spec: JobSpec, most: int, keep_gpus: bool = False) -> int:
-        """Put in as many tasks as fit, as in `tasks`; how many it were."""
-        number = self.tasks_that_fit(spec, most, keep_gpus)
-        if number > 0:
-            self.cpus -= number * spec.cpus
-            self.gpus -= number * spec.gpus
-            self.memory_gb -= number * spec.memory_gb
-        return number
+    def take(self, spec: JobSpec, limit: int, keep_gpus: bool = False) -> int:
+        """Add as many tasks as fit and return their number; arguments as in `tasks_that_fit`."""
+        count = self.tasks_that_fit(spec, limit, keep_gpus)
+        if count > 0:
+            self.cpus -= count * spec.cpus
+            self.gpus -= count * spec.gpus
+            self.memory_gb -= count * spec.memory_gb
+        return count
 
 
 class ZoneQuota:
-    """How many more tasks of a job each zone may take."""
+    """The number of further tasks of a job that each zone may take."""
+
+    def __init__(self, limit: int, zone_counts: Counter[str], only_zone: str | None = None) -> None:
+        """Create the limits of a job.
 
-    def __init__(self, most: int, zone_counts: Counter[str], only: str | None = None) -> None:
-        """At most so many in a zone, next to those that are there; in one zone, if it is named."""
-        self._most = most
+        Args:
+            limit: the most tasks in one zone.
+            zone_counts: the number of tasks in each zone, updated by `take`.
+            only_zone: the only zone that may take tasks, or None for any.
+        """
+        self._max_in_zone = limit
         self._zone_counts = zone_counts
-        self._only = only
+        self._only_zone = only_zone
 
     @staticmethod
     def of(job: Job) -> "ZoneQuota | None":
-        """For the waiting tasks of a job; None when any zone will do."""
+        """Return the limits for the waiting tasks of a job, or None if any zone may take them."""
         zone_counts = Counter(attempt.zone for attempt in job.live.values())
         if job.spec.spread:
             return ZoneQuota((job.spec.tasks + 1) // 2, zone_counts)
@@ -71,34 +74,34 @@
         return None
 
     def left(self, zone: str) -> int:
-        """How many more tasks a zone may take."""
-        if self._only not in (None, zone):
+        """Return how many more tasks a zone may take."""
+        if self._only_zone not in (None, zone):
             return 0
-        return max(0, self._most - self._zone_counts[zone])
+        return max(0, self._max_in_zone - self._zone_counts[zone])
 
-    def take(self, zone: str, number: int) -> None:
-        """So many tasks are put into a zone."""
-        self._zone_counts[zone] += number
+    def take(self, zone: str, count: int) -> None:
+        """Count tasks as placed in a zone."""
+        self._zone_counts[zone] += count
 
 
 class Shortage(NamedTuple):
     """Tasks for which there is no capacity."""
 
     spec: JobSpec
-    ordinary_allowed: bool  # they are worth an ordinary machine
+    ordinary_allowed: bool  # an ordinary machine may be rented for them
     tasks: int
-    zones: ZoneQuota | None = None  # where they may be, if not anywhere
+    zones: ZoneQuota | None = None  # None: any zone may take them
 
 
 class Backlog:
-    """The work that waits, as it adds up in the order in which jobs are placed."""
+    """The accumulated waiting work, in core-seconds and GPU-seconds."""
 
     def __init__(self) -> None:
         self.core_s = 0.0
         self.gpu_s = 0.0
 
     def add(self, spec: JobSpec, tasks: int, seconds: float) -> None:
-        """So many tasks of a job, each taking so long."""
+        """Add a number of a job's tasks that take `seconds` each."""
         self.core_s += tasks * spec.cpus * seconds
         self.gpu_s += tasks * spec.gpus * seconds
 
@@ -111,37 +114,36 @@
     zones: ZoneQuota | None = None,
     keep_gpus: bool = False,
 ) -> int:
-    """Put tasks of a job into the first bins that they fit.
+    """Pack tasks of a job into the first bins that they fit.
 
     Args:
         spec: the job.
-        count: how many tasks, at most.
-        bins: the machines, which are filled in this order.
+        count: the most tasks to pack.
+        bins: the machines, filled in this order.
         can_wait_for_boot: whether only spot machines are used.
-        zones: how many of them each zone may take, if not any number.  What is free in a zone that
-            may take no more is of no use.  Found by a search: replicas that must be spread waited
-            for a full zone, while what was idle in the other one counted.
-        keep_gpus: whether they leave free GPUs the cores and memory that belong to these.
+        zones: the number of tasks that each zone may take, or None for any number.  Free capacity
+            in a zone that may take no more must not count as usable.
+        keep_gpus: whether the cores and memory that belong to free GPUs stay unused.
 
     Returns:
-        How many tasks were put in.
+        The number of packed tasks.
     """
-    left = count
+    remaining = count
     offers_allowed: dict[MachineOffer, bool] = {}
-    for found in bins:
-        if left <= 0:
+    for candidate in bins:
+        if remaining <= 0:
             break
-        if found.cpus + EPSILON < spec.cpus or found.memory_gb + EPSILON < spec.memory_gb:
+        if candidate.cpus + EPSILON < spec.cpus or candidate.memory_gb + EPSILON < spec.memory_gb:
             continue
-        offer = found.offer
+        offer = candidate.offer
         is_allowed = offers_allowed.get(offer)
         if is_allowed is None:
             is_allowed = machine_allowed(spec, offer) and (offer.spot or not can_wait_for_boot)
             offers_allowed[offer] = is_allowed
         if is_allowed:
-            most = left if zones is None else min(left, zones.left(offer.zone))
-            taken = found.take(spec, most, keep_gpus)
+            limit = remaining if zones is None else min(remaining, zones.left(offer.zone))
+            packed = candidate.take(spec, limit, keep_gpus)
             if zones is not None:
-                zones.take(offer.zone, taken)
-            left -= taken
-    return count - left
+                zones.take(offer.zone, packed)
+            remaining -= packed
+    return count - remaining
--- a/src/sandladder/scheduling/cluster_view.py
+++ b/src/sandladder/scheduling/cluster_view.py
@@ -1,8 +1,8 @@
-"""The cluster as this controller sees it: evidence for the gate, and ground for planning.
+"""This controller's view of the cluster, used for planning and as evidence for the gate.
 
-The view is late by nature: it joins the records, the other controllers' inventories and the
-heartbeats that came here.  What is decided on it is checked again before it is committed (see
-`premises`).  Pure: no I/O, no clock.
+The view combines the stored records, the other controllers' inventories and the heartbeats sent to
+this controller, and may be stale.  Decisions based on it are checked again before they are
+committed (see `premises`).  Pure: no I/O, no clock.
 """
 
 from collections.abc import KeysView
@@ -34,15 +34,15 @@
 from sandladder.scheduling.view_time import ViewTime
 from sandladder.state import JOB_PREFIX, TEAM_PREFIX, StateCache
 
-# Who goes first: priority (negated), 0 within the guarantee or else 1, latest start.  A plain
-# tuple, as these sort in half the time that a named one takes.
+# The scheduling order: negated priority, 0 within the team's guarantee or else 1, latest start.  A
+# plain tuple, which sorts faster than a named one.
 OrderKey = tuple[int, int, float]
 
 
 class ClusterView:
-    """Joins what is observed of machines, what is free on them, and how urgent the jobs are.
+    """The observed machines, their free capacity, and the priorities of jobs.
 
-    Whoever asks sets `now` first; all answers are as of that moment on the steady clock.
+    Callers set `now` before a query; results are as of that moment on the steady clock.
     """
 
     def __init__(
@@ -65,15 +65,16 @@
         self.free_capacities = FreeCapacityIndex(cache, gate, self.observations, self.time)
         self.priorities = JobPriorities(settings, cache, self.time)
         self.gpu_protection = GpuProtection(cache, self.priorities, self.time)
-        # Up to what age own and others' observations are relied on, and how often inventories come.
+        # The maximum ages of own and of other controllers' observations, and the interval of
+        # inventories, in seconds.
         self.fresh_s = self.observations.fresh_s
         self.late_s = self.observations.late_s
         self.inventory_interval_s = self.observations.inventory_interval_s
-        self._inventories: dict[str, MachineInventory] = {}  # by controller, those taken in
+        self._inventories: dict[str, MachineInventory] = {}  # by controller, the last recorded
         self._machine_versions: dict[str, int] = {}
         gate.on_pending_changed = self.free_capacities.pending_starts_changed
-        # Bound, not wrapped: asked for each machine or job in each round of planning and scaling.
-        self.free_capacity = self.free_capacities.of
+        # Bound methods rather than wrappers, which would cost a call per machine or job.
+        self.free_capacity = self.free_capacities.get
         self.usable_free_capacities = self.free_capacities.usable
         self.service_cpus = self.free_capacities.service_cpus
         self.avoids_gpus = self.gpu_protection.avoids_gpus
@@ -87,7 +88,7 @@
 
     @property
     def now(self) -> float:
-        """The moment as of which the view answers, on the steady clock, in seconds."""
+        """The time of the view on the steady clock, in seconds."""
         return self.time.now
 
     @now.setter
@@ -96,7 +97,7 @@
 
     @property
     def wall_offset_s(self) -> float:
-        """How far the time of day is ahead of the steady clock, in seconds."""
+        """The time of day minus the steady clock, in seconds."""
         return self.time.wall_offset_s
 
     @wall_offset_s.setter
@@ -111,11 +112,11 @@
     # Machines
 
     def record_heartbeat(self, agent: AgentSession) -> None:
-        """Take in a heartbeat that an agent sent to this controller."""
-        self._record(agent.heartbeat.machine, self.observations.of_heartbeat(agent))
+        """Record a heartbeat that an agent sent to this controller."""
+        self._record(agent.heartbeat.machine, self.observations.from_heartbeat(agent))
 
     def record_inventories(self) -> None:
-        """Take in the machine inventories that are new."""
+        """Record the machine inventories that have changed since the last call."""
         for node, inventory, observed_at in self.lease_expiry.peer_inventories():
             if self._inventories.get(node) is inventory:
                 continue
@@ -124,21 +125,21 @@
                 self._record(machine, MachineObservation(status, node, observed_at - status.age_s))
 
     def record_peer_status(self, node: str, machine: str, seen: MachineStatus) -> None:
-        """Take in what another controller's message says of a machine."""
+        """Record a machine's status from another controller's message."""
         self._record(machine, MachineObservation(seen, node, self.now - seen.age_s))
 
     def _record(self, machine: str, new: MachineObservation) -> None:
-        kept = self.observations.record(machine, new)
-        if kept is not None:
+        recorded = self.observations.record(machine, new)
+        if recorded is not None:
             self.free_capacities.observation_changed(machine)
-            self.images.note_inventory(machine, kept.status.images)
+            self.images.note_inventory(machine, recorded.status.images)
 
     def machines(self) -> KeysView[str]:
-        """All machines that were observed lately."""
+        """Return all recently observed machines."""
         return self.observations.machines()
 
     def forget_missing(self) -> None:
-        """Drop what is known of machines and jobs that are gone."""
+        """Drop the state of machines no longer observed and of jobs no longer live."""
         for machine in self.observations.forget_missing():
             self.free_capacities.observation_changed(machine)
         known = (
@@ -146,7 +147,7 @@
             | self.cache.instances.keys()
             | self.cache.attempts_by_machine.keys()
         )
-        self.images.keep(known)
+        self.images.retain(known)
         self.free_capacities.forget_missing(known)
         self._machine_versions = {m: v for m, v in self._machine_versions.items() if m in known}
         self.priorities.forget_finished()
@@ -155,24 +156,24 @@
     # Free capacity
 
     def is_idle(self, machine: str) -> bool:
-        """Whether nothing runs on a machine any more, committed or not."""
+        """Return whether all attempts on a machine have ended, committed or not."""
         return self.free_capacities.is_idle(machine)
 
     def machine_changed(self, machine: str) -> None:
-        """What runs on a machine changed, or whether it can be given work."""
+        """Invalidate what depends on a machine's attempts or on its usability."""
         self._machine_versions[machine] = self._machine_versions.get(machine, 0) + 1
         self.free_capacities.machine_changed(machine)
 
     def types_changed(self) -> None:
-        """The machine types changed."""
+        """Invalidate what depends on the machine types."""
         self.free_capacities.types_changed()
 
     def instances_changed(self) -> None:
-        """The records of the cloud's instances changed."""
+        """Invalidate what depends on the records of cloud instances."""
         self.free_capacities.instances_changed()
 
     def note_start(self, spec: JobSpec, attempt: Attempt) -> None:
-        """Learn from a committed start which image its machine has or fetches."""
+        """Record a committed start, whose machine has or fetches the job's image."""
         self.gpu_protection.note_start(spec.id)
         known = self.cache.instances.get(attempt.machine)
         observation = self.observations.get(attempt.machine)
@@ -182,24 +183,22 @@
             self.images.note_start(spec, attempt, kind, self.now)
 
     def note_ended(self, item: EndedAttempt) -> None:
-        """An attempt has surely ended: what it used is free before that is committed."""
+        """Free the capacity of an attempt with a proved end, before that end is committed."""
         if self.free_capacities.note_ended(item):
             self.machine_changed(item.attempt.machine)
 
     def avoid_machine(self, machine: str, for_s: float) -> None:
-        """Give a machine no work for so long: it refused a start that should have fitted.
+        """Give a machine no work for some seconds, because it refused a start that should fit.
 
-        Something is there that we do not know of.  Seen in a measured day: the same machine was
-        chosen again a dozen times.
+        Something unknown uses its capacity, and it would be chosen again and again.
         """
         self.free_capacities.avoid_machine(machine, self.now + for_s)
 
     def avoid_controllers(self, reporting_controllers: frozenset[str]) -> None:
-        """Give no work to machines that report to these, and only these, controllers.
+        """Give no work to machines that report to these controllers, which replace earlier ones.
 
-        They are unreachable, or cannot learn what is to start.  Seen in a measured day: for the
-        nine seconds until a cut zone's machines were stale, work was put there, and could not go
-        elsewhere before the cut ended.
+        The controllers are unreachable or cannot receive starts.  Without this, tasks would be
+        placed behind a network partition until the observations of its machines are stale.
         """
         changed = self.free_capacities.avoid_controllers(reporting_controllers)
         if changed:
@@ -209,15 +208,15 @@
     # Images
 
     def fetch_wait_s(self, spec: JobSpec, placement: Placement) -> float:
-        """How long a placed task still waits for its image, in seconds."""
-        wait = self.images.wait_s(placement.machine, placement.agent_epoch, spec.image, self.now)
-        return 0.0 if wait is None else wait
+        """Return how long a placed task still waits for its image, in seconds."""
+        wait_s = self.images.wait_s(placement.machine, placement.agent_epoch, spec.image, self.now)
+        return 0.0 if wait_s is None else wait_s
 
     def fetch_s(self, spec: JobSpec, capacity: FreeCapacity) -> float:
-        """How long a task would wait for its image on a machine, in seconds."""
-        wait = self.images.wait_s(capacity.id, capacity.session, spec.image, self.time.now)
-        if wait is not None:
-            return wait
+        """Return how long a task would wait for its image on a machine, in seconds."""
+        wait_s = self.images.wait_s(capacity.id, capacity.agent_epoch, spec.image, self.time.now)
+        if wait_s is not None:
+            return wait_s
         observation = self.observations.get(capacity.id)
         if observation is not None and spec.image in observation.status.images:
             return 0.0
@@ -227,11 +226,11 @@
     # Jobs and teams
 
     def boot_s(self, spec: JobSpec) -> float:
-        """How long a machine for a job takes to boot, in seconds."""
+        """Return the shortest boot time of a machine for a job, in seconds."""
         return self.priorities.boot_s(spec)
 
     def order_key(self, job: Job) -> OrderKey:
-        """Who goes first: priority, then teams within their guarantee, then the most urgent."""
+        """Return the sort key of a job: priority, within its team's guarantee, latest start."""
         spec = job.spec
         usage = self.cache.usage.get(spec.team, NO_USAGE)
         within = within_guarantee(self.team_limits.get(spec.team), usage, spec)
@@ -239,21 +238,21 @@
         return -priority, 0 if within else 1, self.priorities.latest_start(job)
 
     def team_headroom(self, team: str) -> Headroom:
-        """What the live attempts of a team leave under its limits."""
+        """Return what the live attempts of a team leave of its limits."""
         return headroom(self.team_limits.get(team), self.cache.usage.get(team, NO_USAGE))
 
-    # Evidence (see `premises.Evidence`), with `capacity` and `team_left`
+    # Evidence (see `premises.Evidence`), with `free_capacity` and `team_headroom`
 
     def job(self, job_id: str) -> Job | None:
-        """A live job."""
+        """Return a live job, or None."""
         return self.cache.jobs.get(job_id)
 
     def finished_job(self, job_id: str) -> FinishedJob | None:
-        """What became of a job on which live ones depend, if that is known."""
+        """Return a finished job on which live ones depend, or None if it is unknown."""
         return self.cache.dependency_index.finished_job(job_id)
 
     def version(self, resource: Resource) -> int:
-        """A number that differs once something about a resource has changed."""
+        """Return a number that differs after each change of a resource."""
         kind, name = resource
         if kind == "machine":
             return self._machine_versions.get(name, 0)
--- a/src/sandladder/scheduling/free_capacity.py
+++ b/src/sandladder/scheduling/free_capacity.py
@@ -1,4 +1,4 @@
-"""What is free on a machine, and whether a task may use it.  Pure: no I/O, no clock."""
+"""The free capacity of a machine, and the tasks that may use it.  Pure: no I/O, no clock."""
 
 import functools
 from typing import NamedTuple
@@ -7,13 +7,13 @@
 
 
 class FreeCapacity(NamedTuple):
-    """A machine as the cluster view knows it, with what is free on it."""
+    """A machine in the cluster view, with its free capacity."""
 
     id: str
     type: str
     zone: str
     spot: bool
-    session: int
+    agent_epoch: int
     reporting_controller: str  # the controller that its agent reports to
     cpus: float
     gpus: float
@@ -21,11 +21,11 @@
     usable: bool  # its agent reports, it is healthy, and it is not about to leave
 
     def can_take(self, spec: JobSpec) -> bool:
-        """Whether one more task of a job fits on the machine."""
+        """Return whether one more task of a job fits on the machine."""
         return fits(spec, self.cpus, self.gpus, self.memory_gb)
 
     def minus(self, spec: JobSpec) -> "FreeCapacity":
-        """What is free with one more task of a job."""
+        """Return the free capacity with one more task of a job."""
         return self._replace(
             cpus=self.cpus - spec.cpus,
             gpus=self.gpus - spec.gpus,
@@ -33,7 +33,7 @@
         )
 
     def without_gpu_share(self, kind: MachineType) -> "FreeCapacity":
-        """What is free next to the cores and memory that belong to the machine's free GPUs."""
+        """Return the free capacity without the cores and memory that belong to free GPUs."""
         if self.gpus <= 0 or kind.gpus <= 0:
             return self
         share = self.gpus / kind.gpus
@@ -44,7 +44,7 @@
 
 
 class MachineOffer(NamedTuple):
-    """Machines of one type in one zone, spot or ordinary ones."""
+    """A type of machine offered in a zone, as spot or ordinary machines."""
 
     type: str
     zone: str
@@ -53,12 +53,12 @@
 
 @functools.lru_cache(maxsize=1024)
 def machine_offer(type_name: str, zone: str, spot: bool) -> MachineOffer:
-    """The one offer for these: a round of scaling asks for it once for each machine."""
+    """Return a shared offer object, as each scaling round looks one up for every machine."""
     return MachineOffer(type_name, zone, spot)
 
 
 class PlacementRequirements(NamedTuple):
-    """What decides which machines can take a task; tasks with equal ones fit the same machines."""
+    """The requirements that determine which machines can take a task."""
 
     cpus: float
     gpus: float
@@ -70,7 +70,7 @@
 
 
 def placement_requirements(spec: JobSpec, can_wait_for_boot: bool) -> PlacementRequirements:
-    """What decides which machines can take a task of a job."""
+    """Return the placement requirements of a job's tasks."""
     return PlacementRequirements(
         spec.cpus,
         spec.gpus,
@@ -83,7 +83,7 @@
 
 
 def machine_allowed(spec: JobSpec, machine: FreeCapacity | Machine | MachineOffer) -> bool:
-    """Whether a job's own constraints (types, zone, spot) allow a machine."""
+    """Return whether a job's own constraints (types, zone, spot) allow a machine."""
     return (
         (spec.types is None or machine.type in spec.types)
         and (spec.zone is None or machine.zone == spec.zone)
@@ -92,7 +92,7 @@
 
 
 def fits(spec: JobSpec, cpus: float, gpus: float, memory_gb: float) -> bool:
-    """Whether a task of a job fits into so much."""
+    """Return whether a task of a job fits into the given resources."""
     return (
         spec.cpus <= cpus + EPSILON
         and spec.gpus <= gpus + EPSILON
@@ -101,8 +101,8 @@
 
 
 def count_fitting(spec: JobSpec, cpus: float, gpus: float, memory_gb: float) -> int:
-    """How many tasks of a job fit into so much."""
-    number = min(cpus / spec.cpus, memory_gb / max(spec.memory_gb, 1e-9))
+    """Return how many tasks of a job fit into the given resources."""
+    count = min(cpus / spec.cpus, memory_gb / max(spec.memory_gb, 1e-9))
     if spec.gpus > 0:
-        number = min(number, gpus / spec.gpus)
-    return int(number + EPSILON)
+        count = min(count, gpus / spec.gpus)
+    return int(count + EPSILON)
--- a/src/sandladder/scheduling/gate.py
+++ b/src/sandladder/scheduling/gate.py
@@ -1,8 +1,8 @@
-"""The gate: it keeps the pending starts and lets one through only while its premises hold.
+"""The gate, which holds the pending starts and releases one only while its premises hold.
 
-Selective revalidation, as in the paper (see `premises`): a reverse index leads from a changed
-machine, task, job or team to the pending starts that rest on it, and only the premises that the
-change can reach are checked again.  Pure: no I/O, no clock.
+Selective revalidation, as in the paper (see `premises`): a reverse index maps a changed machine,
+task, job or team to the pending starts that depend on it, and only the affected premises are
+checked again.  Pure: no I/O, no clock.
 """
 
 from collections import Counter
@@ -21,40 +21,40 @@
 
 
 class ReverseIndex:
-    """From a resource to the pending starts whose premises rest on it."""
+    """A map from each resource to the pending starts whose premises depend on it."""
 
     def __init__(self) -> None:
         self._by_resource: dict[Resource, dict[tuple[str, int], PendingStart]] = {}
 
     def add(self, pending_start: PendingStart) -> None:
-        """Index a pending start by all that its premises rest on."""
+        """Index a pending start by the resources of its premises."""
         for premise in pending_start.premises:
             self._by_resource.setdefault(premise.resource, {})[pending_start.key] = pending_start
 
     def remove(self, pending_start: PendingStart) -> None:
-        """Take a pending start out of the index."""
+        """Remove a pending start from the index."""
         for premise in pending_start.premises:
-            resting = self._by_resource.get(premise.resource)
-            if resting is not None:
-                resting.pop(pending_start.key, None)
-                if not resting:
+            dependents = self._by_resource.get(premise.resource)
+            if dependents is not None:
+                dependents.pop(pending_start.key, None)
+                if not dependents:
                     del self._by_resource[premise.resource]
 
-    def resting_on(self, resource: Resource) -> Iterable[PendingStart]:
-        """The pending starts with a premise about this resource."""
+    def dependents(self, resource: Resource) -> Iterable[PendingStart]:
+        """Return the pending starts with a premise on a resource."""
         return self._by_resource.get(resource, {}).values()
 
-    def reach(self, changed: Iterable[Resource]) -> dict[tuple[str, int], set[Resource]]:
-        """The pending starts that these changes can reach, each with what reaches it."""
-        reached: dict[tuple[str, int], set[Resource]] = {}
+    def affected_by(self, changed: Iterable[Resource]) -> dict[tuple[str, int], set[Resource]]:
+        """Return the keys of the pending starts that depend on changed resources, with these."""
+        affected: dict[tuple[str, int], set[Resource]] = {}
         for resource in changed:
             for key in self._by_resource.get(resource, ()):
-                reached.setdefault(key, set()).add(resource)
-        return reached
+                affected.setdefault(key, set()).add(resource)
+        return affected
 
 
 class Verdict(NamedTuple):
-    """The outcome for one pending start, and the premise that decided it (None: all hold)."""
+    """The outcome for one pending start, and the failed premise behind it (None if all hold)."""
 
     pending_start: PendingStart
     outcome: Outcome
@@ -62,19 +62,19 @@
 
 
 class Gate:
-    """Keeps the pending starts, by job and task, and revalidates them."""
+    """The pending starts, by job and task, and their revalidation."""
 
     def __init__(self) -> None:
         self.pending: dict[tuple[str, int], PendingStart] = {}
         self._index = ReverseIndex()
         self.verdicts: Counter[str] = Counter()  # by outcome
-        self.checked = 0  # premises
+        self.checked = 0  # premises checked
         self.full_scan_checks = 0  # premises that would have been checked without the index
-        # Called with each machine on which the pending starts changed.
+        # Called with the machine whenever its pending starts change.
         self.on_pending_changed: Callable[[str], object] = lambda machine: None
 
     def admit(self, pending_start: PendingStart, evidence: Evidence) -> None:
-        """Keep a decision with the versions of what it was decided on."""
+        """Add a pending start, with the current versions of the resources it depends on."""
         pending_start.read_versions = {
             premise.resource: evidence.version(premise.resource)
             for premise in pending_start.premises
@@ -84,35 +84,35 @@
         self.on_pending_changed(pending_start.placement.machine)
 
     def withdraw(self, pending_start: PendingStart) -> None:
-        """Drop a pending start, if it is still kept."""
+        """Remove a pending start if it is present."""
         if self.pending.pop(pending_start.key, None) is not None:
             self._index.remove(pending_start)
             self.on_pending_changed(pending_start.placement.machine)
 
     def on_machine(self, machine: str) -> Iterable[PendingStart]:
-        """The pending starts on a machine."""
-        return self._index.resting_on(("machine", machine))
+        """Return the pending starts on a machine."""
+        return self._index.dependents(("machine", machine))
 
     def revalidate(self, resources: Iterable[Resource], evidence: Evidence) -> list[Verdict]:
-        """Check again what these changes reach; a replanned or blocked start is withdrawn."""
-        # What its own commit changed must not count against a start: the watch may bring that
-        # before the answer comes.  Should the commit fail, it is checked again before the next.
-        reached = {
-            key: through
-            for key, through in self._index.reach(resources).items()
+        """Check again the premises on changed resources; withdraw replanned and blocked starts."""
+        # A start whose commit is in flight is skipped: the watch may deliver the commit's own
+        # changes before its response.  If the commit fails, `release` checks the start again.
+        affected = {
+            key: changed
+            for key, changed in self._index.affected_by(resources).items()
             if not self.pending[key].commit_in_flight
         }
         verdicts = [
-            self._judge(self.pending[key], through, evidence) for key, through in reached.items()
+            self._check(self.pending[key], changed, evidence) for key, changed in affected.items()
         ]
-        if reached:
+        if affected:
             self.full_scan_checks += sum(len(pending.premises) for pending in self.pending.values())
         for verdict in verdicts:
             self._withdraw_if_rejected(verdict)
         return verdicts
 
     def release(self, pending_start: PendingStart, evidence: Evidence) -> Verdict:
-        """Check right before the effect whatever has another version than the one read.
+        """Check the premises whose resources changed since they were read, before the commit.
 
         A replanned or blocked start is withdrawn.
         """
@@ -122,7 +122,7 @@
             if evidence.version(resource) != version
         }
         self.full_scan_checks += len(pending_start.premises)
-        verdict = self._judge(pending_start, differing, evidence)
+        verdict = self._check(pending_start, differing, evidence)
         self._withdraw_if_rejected(verdict)
         return verdict
 
@@ -130,23 +130,23 @@
         if verdict.outcome >= Outcome.REPLAN:
             self.withdraw(verdict.pending_start)
 
-    def _judge(
-        self, pending_start: PendingStart, through: set[Resource], evidence: Evidence
+    def _check(
+        self, pending_start: PendingStart, resources: set[Resource], evidence: Evidence
     ) -> Verdict:
-        """Check the premises that rest on these resources, and note their versions as read."""
-        worst, reason = Outcome.KEEP, None
+        """Check the premises on these resources, and record the resources' versions."""
+        worst_outcome, failed_premise = Outcome.KEEP, None
         for premise in pending_start.premises:
-            if premise.resource not in through:
+            if premise.resource not in resources:
                 continue
             self.checked += 1
             try:
-                kept = holds(premise, pending_start, evidence)
-                outcome = Outcome.KEEP if kept else premise.severity
+                is_valid = holds(premise, pending_start, evidence)
+                outcome = Outcome.KEEP if is_valid else premise.severity
             except UnverifiablePremiseError:
-                outcome = Outcome.BLOCK  # what cannot be checked is not let through
-            if outcome > worst:
-                worst, reason = outcome, premise.kind
-        for resource in through:
+                outcome = Outcome.BLOCK  # a premise that cannot be checked never passes
+            if outcome > worst_outcome:
+                worst_outcome, failed_premise = outcome, premise.kind
+        for resource in resources:
             pending_start.read_versions[resource] = evidence.version(resource)
-        self.verdicts[worst.name.lower()] += 1
-        return Verdict(pending_start, worst, reason)
+        self.verdicts[worst_outcome.name.lower()] += 1
+        return Verdict(pending_start, worst_outcome, failed_premise)
--- a/src/sandladder/scheduling/gpu_protection.py
+++ b/src/sandladder/scheduling/gpu_protection.py
@@ -1,4 +1,4 @@
-"""Keeps machines with GPUs usable for the jobs that need GPUs (docs/design.md).  Pure."""
+"""Protection of GPU machines from jobs that need no GPUs (docs/design.md).  Pure."""
 
 import math
 
@@ -9,20 +9,19 @@
 
 
 class GpuProtection:
-    """Which jobs leave a machine's free GPUs the cores and memory that belong to them."""
+    """Decides which jobs must leave the cores and memory that belong to free GPUs unused."""
 
     def __init__(self, cache: StateCache, priorities: JobPriorities, time: ViewTime) -> None:
         self._cache = cache
         self._priorities = priorities
         self._time = time
-        self._started_at: dict[str, float] = {}  # when a task of a job was last started
-        self._wanted_as_of = (-1, False)  # a revision of the records, and the answer then
+        self._started_at: dict[str, float] = {}  # by job, its last start on the steady clock
+        self._gpus_wanted_at = (-1, False)  # a revision of the records, and the result at it
 
     def avoids_gpus(self, spec: JobSpec) -> bool:
-        """Whether a job's tasks need no GPU and fit a type that has none, while others need them.
+        """Return whether a job's tasks fit a type without GPUs while other jobs need GPUs.
 
-        Seen in a measured day: arrays of small tasks filled the machines with GPUs, and gangs
-        that need whole ones found none free.
+        Otherwise small tasks would fill GPU machines, and gangs that need whole ones would starve.
         """
         if spec.gpus > 0 or not self._gpus_wanted():
             return False
@@ -31,11 +30,11 @@
         )
 
     def keeps_gpus_free(self, job: Job) -> bool:
-        """Whether a job leaves free GPUs what they may need; not once it is starved."""
+        """Return whether a job must leave the share of free GPUs unused; not once it starves."""
         return self.avoids_gpus(job.spec) and not self._starved(job)
 
     def is_starved_of_gpu_machines(self, job: Job) -> bool:
-        """Whether a job that was to leave free GPUs alone has waited so long that it need not."""
+        """Return whether a job has starved so long that it may use the share of free GPUs."""
         return self.avoids_gpus(job.spec) and self._starved(job)
 
     def note_start(self, job_id: str) -> None:
@@ -43,19 +42,19 @@
         self._started_at[job_id] = self._time.now
 
     def forget_finished(self) -> None:
-        """Drop what is known of jobs that are not live any more."""
+        """Drop the start times of jobs that are no longer live."""
         jobs = self._cache.jobs
         self._started_at = {name: at for name, at in self._started_at.items() if name in jobs}
 
     def _gpus_wanted(self) -> bool:
-        """Whether any live job needs GPUs; looked for once for each revision of the records."""
-        if self._wanted_as_of[0] != self._cache.revision:
+        """Return whether any live job needs GPUs, computed once for each store revision."""
+        if self._gpus_wanted_at[0] != self._cache.revision:
             wanted = any(job.spec.gpus > 0 for job in self._cache.jobs.values())
-            self._wanted_as_of = self._cache.revision, wanted
-        return self._wanted_as_of[1]
+            self._gpus_wanted_at = self._cache.revision, wanted
+        return self._gpus_wanted_at[1]
 
     def _starved(self, job: Job) -> bool:
-        """Whether nothing of a job has been started for long, as far as this process saw."""
+        """Return whether this process has seen no start of a waiting job's tasks for long."""
         started_at = self._started_at.get(job.id, -math.inf)
         idle_s = min(self._priorities.waited_s(job), self._time.now - started_at)
-        return idle_s > self._priorities.aged_s
+        return idle_s > self._priorities.aged_after_s
--- a/src/sandladder/scheduling/image_cache_index.py
+++ b/src/sandladder/scheduling/image_cache_index.py
@@ -1,4 +1,4 @@
-"""Which images the machines have, from committed starts and machine inventories.  Pure."""
+"""Index of the images in machines' caches, from starts and inventories.  Pure."""
 
 from collections import OrderedDict
 from collections.abc import Collection, Iterable
@@ -11,25 +11,24 @@
     """An image in a machine's cache."""
 
     size_gb: float
-    fetched_at: float  # on the steady clock; it is being fetched until then
+    fetched_at: float  # on the steady clock; the end of its fetch
 
 
 class ImageCacheIndex:
-    """Which images a machine has or fetches.
+    """The images that each machine has or fetches.
 
-    What a machine's cache holds is derived from the starts that the records show, with its least
-    recently used images evicted first.  Which machines *may* have an image is derived from the
-    inventories too.
+    The content of a machine's cache is derived from committed starts, with least-recently-used
+    eviction.  The machines that *may* have an image are derived from inventories as well.
     """
 
     def __init__(self) -> None:
-        # By machine and session: a machine that begins a new session has lost its cache.
+        # By machine and agent epoch; a new epoch starts with an empty cache.
         self._cached: dict[tuple[str, int], OrderedDict[str, _CachedImage]] = {}
-        # By image, the machines that had it or fetched it at some time; more than have it now.
+        # By image, the machines that have had it or fetched it; some may have evicted it since.
         self._candidates: dict[str, dict[str, None]] = {}
 
     def note_start(self, spec: JobSpec, attempt: Attempt, kind: MachineType, now: float) -> None:
-        """Record that a task was started on a machine of a type, which fetches its image."""
+        """Record a committed start, whose machine fetches the image if it does not have it."""
         machine = attempt.machine
         self._candidates.setdefault(spec.image, {})[machine] = None
         cached = self._cached.setdefault((machine, attempt.agent_epoch), OrderedDict())
@@ -42,32 +41,32 @@
             cached.popitem(last=False)
 
     def note_inventory(self, machine: str, images: Iterable[str]) -> None:
-        """Record that a controller's inventory lists these images for a machine."""
+        """Record the images that an inventory lists for a machine."""
         for image in images:
             self._candidates.setdefault(image, {})[machine] = None
 
     def candidates(self, image: str) -> Iterable[str]:
-        """The machines that may have an image; not all of them still have it."""
+        """Return the machines that may have an image; some may have evicted it."""
         return self._candidates.get(image, {}).keys()
 
-    def wait_s(self, machine: str, session: int, image: str, now: float) -> float | None:
-        """How long until the image is there, in seconds, or None if it must be fetched first."""
-        cached = self._cached.get((machine, session))
+    def wait_s(self, machine: str, agent_epoch: int, image: str, now: float) -> float | None:
+        """Return the time until an image is available, in seconds, or None if no fetch began."""
+        cached = self._cached.get((machine, agent_epoch))
         if cached is None or image not in cached:
             return None
         return max(0.0, cached[image].fetched_at - now)
 
-    def names(self, machine: str, session: int) -> list[str]:
-        """The images of a machine, the most recently used last."""
-        return list(self._cached.get((machine, session), ()))
+    def names(self, machine: str, agent_epoch: int) -> list[str]:
+        """Return the images of a machine, the most recently used last."""
+        return list(self._cached.get((machine, agent_epoch), ()))
 
-    def keep(self, machines: Collection[str]) -> None:
-        """Forget all other machines."""
+    def retain(self, machines: Collection[str]) -> None:
+        """Drop all machines but these."""
         for key in [key for key in self._cached if key[0] not in machines]:
             del self._cached[key]
         for image in list(self._candidates):
-            kept = {name: None for name in self._candidates[image] if name in machines}
-            if kept:
-                self._candidates[image] = kept
+            retained = {name: None for name in self._candidates[image] if name in machines}
+            if retained:
+                self._candidates[image] = retained
             else:
                 del self._candidates[image]
--- a/src/sandladder/scheduling/job_priorities.py
+++ b/src/sandladder/scheduling/job_priorities.py
@@ -1,7 +1,7 @@
-"""How urgent waiting jobs are: by when each must start, and whether it can wait for a boot.  Pure.
+"""Priorities and latest start times of waiting jobs.  Pure: no I/O, no clock.
 
-Times of jobs are times of day, in seconds: what counts them is in the records, which outlive the
-steady clock of a process.
+Times of jobs are wall-clock times in seconds, as in the stored records, which outlive the steady
+clock of a process.
 """
 
 from dataclasses import dataclass
@@ -11,113 +11,107 @@
 from sandladder.scheduling.view_time import ViewTime
 from sandladder.state import StateCache
 
-# After so many leases a job counts as having waited long.
+# The waiting time, in leases, after which a job counts as aged.
 AGED_LEASES = 4
-# Work without any objective goes last, in the order in which it came.
+# The objective of jobs without one, in seconds: they come last, in the order of submission.
 _NO_OBJECTIVE_S = 1e9
-# So many boots before it must start, work still waits for the cheaper kind of machine.
-_PATIENCE_BOOTS = 4
+# A job stops waiting for spot machines this many boot times before its latest start.
+_SPOT_WAIT_MARGIN_BOOTS = 4
 
 
 @dataclass(frozen=True, slots=True)
 class _StartDeadline:
-    """By when a job must start, and what that was worked out from."""
+    """The latest start of a job, with the values that it was computed from."""
 
     job: Job
     priority: SchedulingPriority
     types: dict[str, MachineType]
     latest_start: float
-    waits_for_spot_until: float  # up to when it has time to wait for the cheaper kind of machine
+    waits_for_spot_until: float  # until then, it has time to wait for a spot machine
 
 
 class JobPriorities:
-    """Priority, waiting time and latest start of jobs, with all that depend on them."""
+    """Priority, waiting time and latest start of jobs; their dependents are taken into account."""
 
     def __init__(self, settings: Settings, cache: StateCache, time: ViewTime) -> None:
         self._cache = cache
         self._time = time
-        self._start_within_s = (
-            settings.start_objectives_s
-        )  # by class, the objective for the time to start
+        # By job class, the objective for the time to start, in seconds.
+        self._start_within_s = settings.start_objectives_s
         workers = settings.platform.deployment.workers
         self._report_s = workers.report_s
-        self.aged_s = AGED_LEASES * workers.lease_s
+        self.aged_after_s = AGED_LEASES * workers.lease_s
         self._deadlines: dict[str, _StartDeadline] = {}
 
     def scheduling_priority(self, job: Job) -> SchedulingPriority:
-        """Its priority and when it is due, with all that depend on it."""
-        return self._cache.dependency_index.scheduling_priority(job, self.stage_s)
+        """Return the priority and due time of a job, as raised by the jobs that depend on it."""
+        return self._cache.dependency_index.scheduling_priority(job, self.expected_duration_s)
 
     def waiting_since(self, job: Job) -> float:
-        """From when its times count."""
+        """Return the time of day from which a job's waiting time counts."""
         return self._cache.dependency_index.ready_since(job)
 
     def waited_s(self, job: Job) -> float:
-        """How long a job has waited, in seconds."""
+        """Return how long a job has waited, in seconds."""
         return self._time.wall_time - self.waiting_since(job)
 
     def latest_start(self, job: Job) -> float:
-        """By when it must start to meet its objectives, or those of jobs that depend on it."""
+        """Return the latest start that meets a job's objectives and those of its dependents."""
         return self._deadline(job).latest_start
 
     def can_wait_for_boot(self, job: Job) -> bool:
-        """Whether a job has time to wait for the cheaper kind of machine.
+        """Return whether a job has time to wait until a spot machine has booted.
 
-        Seen in a measured day: work with minutes to spare kept dear machines busy that had
-        been rented for the few tasks that could not wait.
+        Such jobs must not occupy ordinary machines that were rented for work that cannot wait.
         """
         spec = job.spec
         if not spec.spot or spec.kind != ARRAY:
             return False
-        deadline, wall = self._deadline(job), self._time.wall_time
-        # Work without any objective would wait for ever where there is no cheaper kind.
+        deadline, wall_time = self._deadline(job), self._time.wall_time
+        # A job without an objective would wait indefinitely where there are no spot machines.
         return (
-            wall < deadline.waits_for_spot_until
-            and deadline.latest_start - wall < _NO_OBJECTIVE_S / 2
+            wall_time < deadline.waits_for_spot_until
+            and deadline.latest_start - wall_time < _NO_OBJECTIVE_S / 2
         )
 
     def boot_s(self, spec: JobSpec) -> float:
-        """How long a machine for a job takes to boot, in seconds."""
+        """Return the shortest boot time of a machine for a job, in seconds."""
         boots = [kind.boot_s for kind in self._cache.machine_types.values() if kind.fits(spec)]
         return min(boots, default=0.0)
 
-    def least_fetch_s(self, spec: JobSpec) -> float:
-        """How long the fetch of a job's image takes at least, in seconds."""
+    def min_fetch_s(self, spec: JobSpec) -> float:
+        """Return the shortest time to fetch a job's image, in seconds."""
         rates = [
             kind.fetch_gb_per_s for kind in self._cache.machine_types.values() if kind.fits(spec)
         ]
         return spec.image_gb / max([1e-6, *rates])
 
-    def stage_s(self, spec: JobSpec) -> float:
-        """How long a job takes once it may start, if there is capacity, in seconds."""
-        return spec.estimate_s + self.least_fetch_s(spec) + self._report_s / 2
+    def expected_duration_s(self, spec: JobSpec) -> float:
+        """Return the expected time from a job's readiness to its end, in seconds."""
+        return spec.estimate_s + self.min_fetch_s(spec) + self._report_s / 2
 
     def forget_finished(self) -> None:
-        """Drop what is known of jobs that are not live any more."""
+        """Drop the cached deadlines of jobs that are no longer live."""
         jobs = self._cache.jobs
-        self._deadlines = {name: known for name, known in self._deadlines.items() if name in jobs}
+        self._deadlines = {name: cached for name, cached in self._deadlines.items() if name in jobs}
 
     def _deadline(self, job: Job) -> _StartDeadline:
-        """As last worked out, while neither the job nor what it follows from has changed.
-
-        Seen in a measured day: with some hundred jobs waiting, a third of each round of
-        planning went into working this out again.
-        """
+        """Return a job's deadline, cached until the job or another input changes."""
         priority, types = self.scheduling_priority(job), self._cache.machine_types
-        known = self._deadlines.get(job.id)
+        cached = self._deadlines.get(job.id)
         if (
-            known is not None
-            and known.job is job
-            and known.priority is priority
-            and known.types is types
+            cached is not None
+            and cached.job is job
+            and cached.priority is priority
+            and cached.types is types
         ):
-            return known
+            return cached
         spec = job.spec
         latest = self.waiting_since(job) + self._start_within_s.get(spec.job_class, _NO_OBJECTIVE_S)
-        latest = min(latest, priority.due - self.stage_s(spec))
-        waits_until = latest - _PATIENCE_BOOTS * self.boot_s(spec)
+        latest = min(latest, priority.due - self.expected_duration_s(spec))
+        waits_until = latest - _SPOT_WAIT_MARGIN_BOOTS * self.boot_s(spec)
         deadline = _StartDeadline(job, priority, types, latest, waits_until)
-        # What became of jobs that it depends on says from when its times count.
+        # Not cached for a job with dependencies: its waiting time counts from when these end.
         if not job.dependencies:
             self._deadlines[job.id] = deadline
         return deadline
--- a/src/sandladder/scheduling/machine_observations.py
+++ b/src/sandladder/scheduling/machine_observations.py
@@ -1,4 +1,4 @@
-"""The latest observation of each machine: what it is, who says so, and how old that is.  Pure."""
+"""The latest observation of each machine, with its source and time.  Pure: no I/O, no clock."""
 
 import enum
 from collections.abc import KeysView
@@ -12,7 +12,7 @@
 
 
 class MachineObservation(NamedTuple):
-    """What is known of a machine, from which controller, and as of when."""
+    """The status of a machine, the controller that it reports to, and the time of the status."""
 
     status: MachineStatus
     reporting_controller: str
@@ -22,8 +22,8 @@
 class MachineDeparture(enum.StrEnum):
     """Why a machine is about to leave."""
 
-    DRAINING = "a draining machine"  # the autoscaler is returning it
-    NOTICE = "a preemption notice"  # the cloud takes it back
+    DRAINING = "a draining machine"  # the autoscaler scales it in
+    NOTICE = "a preemption notice"  # the cloud reclaims it
 
 
 class MachineObservations:
@@ -34,15 +34,15 @@
         self._cache = cache
         self._time = time
         workers = settings.platform.deployment.workers
-        # A heartbeat may be a quarter late; past two of them the machine is in doubt.
+        # Two heartbeat intervals, with a quarter of an interval of delay for each.
         self.fresh_s = 2.5 * workers.report_s
         self.inventory_interval_s = inventory_interval_s(settings)
         self.late_s = self.fresh_s + self.inventory_interval_s
         self._forget_after_s = 4 * workers.lease_s
         self._latest: dict[str, MachineObservation] = {}
 
-    def of_heartbeat(self, agent: AgentSession) -> MachineObservation:
-        """What an agent's last heartbeat to this controller says of its machine."""
+    def from_heartbeat(self, agent: AgentSession) -> MachineObservation:
+        """Return the observation in an agent's last heartbeat to this controller."""
         heartbeat, notice = agent.heartbeat, agent.termination_at
         status = MachineStatus(
             type=heartbeat.type,
@@ -56,7 +56,10 @@
         return MachineObservation(status, self._node, agent.last_seen_at)
 
     def record(self, machine: str, new: MachineObservation) -> MachineObservation | None:
-        """Keep an observation unless a later one is known; what is kept, or None."""
+        """Store an observation and return it as stored, or None if a later one is stored.
+
+        An observation without images takes over those of the previous one of its agent epoch.
+        """
         old = self._latest.get(machine)
         if old is not None:
             if (new.status.agent_epoch, new.at) < (old.status.agent_epoch, old.at):
@@ -67,15 +70,15 @@
         return new
 
     def get(self, machine: str) -> MachineObservation | None:
-        """The latest observation of a machine."""
+        """Return the latest observation of a machine, or None."""
         return self._latest.get(machine)
 
     def machines(self) -> KeysView[str]:
-        """All machines that were observed lately, in the order in which they came."""
+        """Return all recently observed machines, in the order of their first observation."""
         return self._latest.keys()
 
     def reported_to(self, controllers: frozenset[str]) -> list[str]:
-        """The machines whose agents report to any of these controllers."""
+        """Return the machines whose agents report to any of these controllers."""
         return [
             machine
             for machine, observation in self._latest.items()
@@ -83,16 +86,16 @@
         ]
 
     def age_s(self, observation: MachineObservation) -> float:
-        """How old an observation is, in seconds."""
+        """Return the age of an observation, in seconds."""
         return self._time.now - observation.at
 
     def stale_at(self, observation: MachineObservation) -> float:
-        """Up to when an observation can be relied on; other controllers' come with delay."""
-        own = observation.reporting_controller == self._node
-        return observation.at + (self.fresh_s if own else self.late_s)
+        """Return when an observation becomes stale; other controllers' ones arrive with delay."""
+        is_own = observation.reporting_controller == self._node
+        return observation.at + (self.fresh_s if is_own else self.late_s)
 
     def leaving_machines(self) -> list[str]:
-        """The machines that are about to leave, as far as they were observed."""
+        """Return the observed machines that are about to leave."""
         instances = self._cache.instances
         draining = {name for name, record in instances.items() if record.state == "draining"}
         return [
@@ -102,9 +105,9 @@
         ]
 
     def departure(self, machine: str) -> MachineDeparture | None:
-        """Why a machine is about to leave, or None if it stays."""
-        listed = self._cache.instances.get(machine)
-        if listed is not None and listed.state == "draining":
+        """Return why a machine is about to leave, or None if it stays."""
+        instance = self._cache.instances.get(machine)
+        if instance is not None and instance.state == "draining":
             return MachineDeparture.DRAINING
         observation = self._latest.get(machine)
         if observation is not None and observation.status.notice_s is not None:
@@ -112,7 +115,7 @@
         return None
 
     def forget_missing(self) -> list[str]:
-        """Drop the machines that have not been observed for long; which ones."""
+        """Drop and return the machines that have not been observed for long."""
         now = self._time.now
         missing = [
             machine
@@ -125,10 +128,10 @@
 
 
 def inventory_interval_s(settings: Settings) -> float:
-    """How often a controller publishes its machine inventory, in seconds.
+    """Return the interval at which a controller publishes its machine inventory, in seconds.
 
-    All inventories together may take a twentieth of the writes that the store accepts.
+    All inventories together may use a twentieth of the store's write rate.
     """
     deployment = settings.platform.deployment
-    least = len(settings.node_names) / (deployment.state.write_rps / 20)
-    return max(settings.operator.summary_reports * deployment.workers.report_s, least)
+    min_interval_s = len(settings.node_names) / (deployment.state.write_rps / 20)
+    return max(settings.operator.summary_reports * deployment.workers.report_s, min_interval_s)
--- a/src/sandladder/scheduling/machine_selection.py
+++ b/src/sandladder/scheduling/machine_selection.py
@@ -1,8 +1,7 @@
-"""Which of the machines that can take a job's tasks get them: bin packing over a random sample.
+"""Machine selection for a job's tasks: bin packing over a random sample of machines.
 
-The best of a few machines drawn at random is nearly as good a fit as the best of all, at a cost
-that does not grow with the cluster.  Pure: no I/O, no clock; randomness comes from a seeded
-generator.
+The best of a small sample fits nearly as well as the best of all machines, at a cost that does not
+grow with the cluster.  Pure: no I/O, no clock; randomness comes from a seeded generator.
 """
 
 import heapq
@@ -16,14 +15,13 @@
 from sandladder.scheduling.free_capacity import FreeCapacity, count_fitting
 from sandladder.scheduling.placement_cost import PlacementCost
 
-# The share of the time to start within that a task waits for a machine with its image.
-_INSIST_SHARE = 0.7
-# To how many times its first size the sample of machines for a task grows for a better fit.
-_MOST_SAMPLES = 32
+# For this share of its start objective, a job uses only machines on which it can meet it.
+_IN_TIME_ONLY_SHARE = 0.7
+# The sample grows to at most this multiple of its initial size.
+_MAX_SAMPLE_GROWTH = 32
 
-Suits = Callable[[FreeCapacity], bool]
-# Cost, position in the list that the sample is drawn from, and the machine; a plain tuple, as
-# the heap compares them.
+MachineFilter = Callable[[FreeCapacity], bool]
+# Cost, position in the list that the sample is drawn from, and the machine.
 _Candidate = tuple[float, int, FreeCapacity]
 
 
@@ -33,26 +31,27 @@
     def __init__(self, cluster_view: ClusterView, rng: Random) -> None:
         self._cluster_view = cluster_view
         self._rng = rng
-        # By class, the time within which its tasks should start, in seconds.
+        # By job class, the objective for the time to start, in seconds.
         self.start_within_s = cluster_view.settings.start_objectives_s
-        self.failed_machines: dict[str, set[str]] = {}  # by job, the machines that it failed on
-        self.next_change_s = math.inf  # after so long the selection may look different by itself
+        self.failed_machines: dict[str, set[str]] = {}  # by job, the machines on which it failed
+        # The time, in seconds, after which a selection may differ though nothing else changed.
+        self.next_change_s = math.inf
 
-    def starts_in_time(self, job: Job) -> Suits | None:
-        """Where a job's tasks would start in time, images and all, while that is insisted on.
+    def in_time_filter(self, job: Job) -> MachineFilter | None:
+        """Return a filter for machines on which a job meets its start objective, or None.
 
-        Capacity comes free all the while: a task that is started a moment later where its image
-        is starts earlier than one that waits for the fetch.
+        None once `_IN_TIME_ONLY_SHARE` of the objective has passed, or if there is no objective.
+        Until then, waiting for a machine that has the image beats a long image fetch.
         """
         cluster_view, spec = self._cluster_view, job.spec
         within_s = self.start_within_s.get(spec.job_class)
         if within_s is None:
             return None
         waited_s = cluster_view.priorities.waited_s(job)
-        left_s = _INSIST_SHARE * within_s - waited_s
-        if left_s <= 0:
+        remaining_s = _IN_TIME_ONLY_SHARE * within_s - waited_s
+        if remaining_s <= 0:
             return None
-        self.next_change_s = min(self.next_change_s, left_s)
+        self.next_change_s = min(self.next_change_s, remaining_s)
         return lambda capacity: waited_s + cluster_view.fetch_s(spec, capacity) <= within_s
 
     def select(
@@ -61,24 +60,24 @@
         capacities: dict[str, FreeCapacity],
         zones: list[str],
         count: int,
-        suits: Suits | None = None,
+        is_suitable: MachineFilter | None = None,
     ) -> list[FreeCapacity]:
-        """The best fits for some tasks of a job among sampled machines.
+        """Return the best fits for some tasks of a job among sampled machines.
 
         Args:
             spec: the job.
             capacities: the machines that can take one of its tasks, by name.
-            zones: the zone of each of its tasks that is started or about to.
-            count: how many tasks are to be placed.
-            suits: what else a machine must be, or None.
+            zones: the zones of its live tasks and of its pending starts.
+            count: the number of tasks to place.
+            is_suitable: a further condition on machines, or None.
 
         Returns:
-            A machine for each task that found one, with what was free on it before.
+            A machine for each placed task, with its free capacity before the placement.
         """
         zone_counts = Counter(zones)
-        sample = self._sample(spec, capacities, zones, count, suits, zone_counts)
-        most_in_zone = (spec.tasks + 1) // 2 if spec.spread else len(zones) + count
-        return _pack(spec, sample, zone_counts, count, most_in_zone)
+        sample = self._sample(spec, capacities, zones, count, is_suitable, zone_counts)
+        max_in_zone = (spec.tasks + 1) // 2 if spec.spread else len(zones) + count
+        return _pack(spec, sample, zone_counts, count, max_in_zone)
 
     def _sample(
         self,
@@ -86,25 +85,25 @@
         capacities: dict[str, FreeCapacity],
         zones: list[str],
         count: int,
-        suits: Suits | None,
+        is_suitable: MachineFilter | None,
         zone_counts: Counter[str],
     ) -> "_Sample":
-        """A sample of the machines that a job may use; arguments as in `select`."""
+        """Return a sample of the machines that a job may use; arguments as in `select`."""
         cluster_view = self._cluster_view
         machines = self._without_failed(spec, list(capacities.values()))
         if spec.one_zone:
-            if suits is not None:
-                machines = [capacity for capacity in machines if suits(capacity)]
-            machines, suits = _of_one_zone(spec, machines, zones), None
+            if is_suitable is not None:
+                machines = [capacity for capacity in machines if is_suitable(capacity)]
+            machines, is_suitable = _machines_of_one_zone(spec, machines, zones), None
         cost = PlacementCost(spec, cluster_view, self.start_within_s.get(spec.job_class))
         close_fit = cost.close_fit
         if not any(name in capacities for name in cluster_view.images.candidates(spec.image)):
-            close_fit += cluster_view.priorities.least_fetch_s(spec)
+            close_fit += cluster_view.priorities.min_fetch_s(spec)
         size = cluster_view.settings.operator.sample * count
-        return _Sample(machines, suits, cost, zone_counts, close_fit, size, self._rng)
+        return _Sample(machines, is_suitable, cost, zone_counts, close_fit, size, self._rng)
 
     def _without_failed(self, spec: JobSpec, machines: list[FreeCapacity]) -> list[FreeCapacity]:
-        """The machines on which a job has not failed, or all if it failed on each."""
+        """Return the machines on which a job has not failed, or all if it failed on each."""
         failed_on = self.failed_machines.get(spec.id)
         if not failed_on:
             return machines
@@ -112,70 +111,69 @@
 
 
 class _Sample:
-    """Machines drawn at random, the cheapest first.
+    """A heap of machines drawn at random, the cheapest first.
 
-    Its size is in proportion to the tasks, and it grows while the best is not a close fit with its
-    image at hand, up to `_MOST_SAMPLES` times: the best of so many is hardly worse than the best of
-    all.  Only what is sampled is looked at: seen in a measured day, each job that was placed went
-    several times through all machines.
+    Its initial size is proportional to the number of tasks.  It grows, to at most
+    `_MAX_SAMPLE_GROWTH` times that size, while its best machine is not a close fit.  Machines
+    outside the sample are not examined, so placing a job does not cost a scan of the cluster.
     """
 
     def __init__(
         self,
         machines: list[FreeCapacity],
-        suits: Suits | None,
+        is_suitable: MachineFilter | None,
         cost: PlacementCost,
         zone_counts: Counter[str],
         close_fit: float,
         size: int,
         rng: Random,
     ) -> None:
-        self._machines = machines  # those that were drawn first
-        self._suits = suits
+        self._machines = machines  # the drawn ones first
+        self._is_suitable = is_suitable
         self._cost = cost
         self._zone_counts = zone_counts
         self._close_fit = close_fit
-        self._size = size  # by how many machines it grows next
-        self._most_drawn = _MOST_SAMPLES * size
+        self._next_draw = size  # the number of machines to draw next
+        self._max_drawn = _MAX_SAMPLE_GROWTH * size
         self._rng = rng
         self._drawn = 0
         self._heap: list[_Candidate] = []
 
-    def is_wanting(self) -> bool:
-        """Whether there may be a better fit than the best one so far."""
+    def needs_more(self) -> bool:
+        """Return whether more machines should be drawn to find a better fit."""
         if self._drawn >= len(self._machines):
             return False
         heap = self._heap
-        return not heap or (heap[0][0] > self._close_fit and self._drawn < self._most_drawn)
+        return not heap or (heap[0][0] > self._close_fit and self._drawn < self._max_drawn)
 
     def grow(self) -> None:
-        """Draw as many machines as there are in it, at first `size`."""
-        machines, suits, randrange = self._machines, self._suits, self._rng.randrange
+        """Draw more machines: the initial number first, then as many as were drawn so far."""
+        machines, is_suitable, randrange = self._machines, self._is_suitable, self._rng.randrange
         total = len(machines)
-        for index in range(self._drawn, min(total, self._drawn + self._size)):
-            other = randrange(index, total)
-            machines[index], machines[other] = machines[other], machines[index]
-            if suits is None or suits(machines[index]):
+        for index in range(self._drawn, min(total, self._drawn + self._next_draw)):
+            other_index = randrange(index, total)
+            machines[index], machines[other_index] = machines[other_index], machines[index]
+            if is_suitable is None or is_suitable(machines[index]):
                 self.push(index, machines[index])
-        self._drawn += self._size
-        self._size = self._drawn
+        self._drawn += self._next_draw
+        self._next_draw = self._drawn
 
     def push(self, index: int, capacity: FreeCapacity) -> None:
-        """Put a machine in by what it costs now."""
-        cost = self._cost.of(capacity, self._zone_counts)
+        """Add a machine at its current cost."""
+        cost = self._cost.cost_of(capacity, self._zone_counts)
         heapq.heappush(self._heap, (cost, index, capacity))
 
     def pop_best(self) -> _Candidate | None:
-        """Take out the cheapest machine, or None if there is none left."""
+        """Remove and return the cheapest machine, or None if none is left."""
         return heapq.heappop(self._heap) if self._heap else None
 
-    def is_outdated(self, best: _Candidate) -> bool:
-        """Whether another machine is cheaper by now than the one taken out; it is put back then.
+    def put_back_if_outdated(self, best: _Candidate) -> bool:
+        """Put a removed machine back if another one is cheaper now; return whether it was put back.
 
-        What was chosen since it was put in may have made its zone less wanted.
+        Later choices in the same zone may have raised its cost since it was added.
         """
         cost, index, capacity = best
-        cost_now = self._cost.of(capacity, self._zone_counts)
+        cost_now = self._cost.cost_of(capacity, self._zone_counts)
         if cost_now > cost + 1e-9 and self._heap and cost_now > self._heap[0][0]:
             heapq.heappush(self._heap, (cost_now, index, capacity))
             return True
@@ -183,21 +181,21 @@
 
 
 def _pack(
-    spec: JobSpec, sample: _Sample, zone_counts: Counter[str], count: int, most_in_zone: int
+    spec: JobSpec, sample: _Sample, zone_counts: Counter[str], count: int, max_in_zone: int
 ) -> list[FreeCapacity]:
-    """Put each of so many tasks on the machine that is cheapest then; the machines."""
+    """Place tasks one by one on the machine that is cheapest at that point; return the machines."""
     chosen: list[FreeCapacity] = []
     while len(chosen) < count:
-        if sample.is_wanting():
+        if sample.needs_more():
             sample.grow()
             continue
         best = sample.pop_best()
         if best is None:
             break
         _, index, capacity = best
-        if zone_counts[capacity.zone] >= most_in_zone:
+        if zone_counts[capacity.zone] >= max_in_zone:
             continue
-        if spec.kind == SERVICE and zone_counts and sample.is_outdated(best):
+        if spec.kind == SERVICE and zone_counts and sample.put_back_if_outdated(best):
             continue
         chosen.append(capacity)
         zone_counts[capacity.zone] += 1
@@ -207,10 +205,10 @@
     return chosen
 
 
-def _of_one_zone(
+def _machines_of_one_zone(
     spec: JobSpec, machines: list[FreeCapacity], zones: list[str]
 ) -> list[FreeCapacity]:
-    """The machines of the zone that the job is in, or of the one that can take most tasks."""
+    """Return the machines of the job's zone, or else of the zone that can take most tasks."""
     tasks_by_zone: Counter[str] = Counter()
     for capacity in machines:
         tasks = count_fitting(spec, capacity.cpus, capacity.gpus, capacity.memory_gb)
--- a/src/sandladder/scheduling/planner.py
+++ b/src/sandladder/scheduling/planner.py
@@ -1,7 +1,7 @@
-"""A round of planning: a machine for each waiting task, as far as there is capacity.
+"""A planning round: the choice of machines for waiting tasks, as far as there is capacity.
 
-Decided on the cluster view as it is, and checked again before it is committed (see `premises`).
-Pure: no I/O, no clock; randomness comes from a seeded generator.
+Decisions rest on a possibly stale cluster view and are checked again before the commit (see
+`premises`).  Pure: no I/O, no clock; randomness comes from a seeded generator.
 """
 
 import math
@@ -16,13 +16,13 @@
 from sandladder.scheduling.cluster_view import ClusterView
 from sandladder.scheduling.free_capacity import FreeCapacity
 from sandladder.scheduling.gate import Gate
-from sandladder.scheduling.machine_selection import MachineSelector, Suits
+from sandladder.scheduling.machine_selection import MachineFilter, MachineSelector
 from sandladder.scheduling.premises import PendingStart
 from sandladder.scheduling.reservation import Reservation
 from sandladder.state import StoreLimits
 
-# Jobs with pending starts at a time, in changes that one full commit may carry.
-_FULL_COMMITS = 2
+# Limits the number of jobs with pending starts to what this many full transactions can carry.
+_MAX_PENDING_TRANSACTIONS = 2
 
 
 class Planner:
@@ -33,72 +33,72 @@
         self.store_limits = limits
         self.selector = MachineSelector(cluster_view, rng)
         self.reservation = Reservation(cluster_view)
-        self.failed_machines = (
-            self.selector.failed_machines
-        )  # by job, the machines that it failed on
-        self.urgent = False  # whether work that must start at once waited in the last round
+        # By job, the machines on which its tasks failed.
+        self.failed_machines = self.selector.failed_machines
+        self.urgent = False  # whether a planned job of the last round was urgent
 
     @property
     def next_change_s(self) -> float:
-        """After so long, in seconds, a plan may look different by itself."""
+        """The time, in seconds, after which a plan may differ though nothing else changed."""
         return self.selector.next_change_s
 
     def most_live(self, spec: JobSpec) -> int:
-        """How many tasks of a job may be live, for its record to fit the store."""
+        """Return how many tasks of a job may be live so that its record fits the store."""
         return min(spec.tasks, self.store_limits.most_live_tasks(len(msgspec.json.encode(spec))))
 
     def plan(
-        self, owned: Iterable[Job], backing_off: dict[str, float], least: int = LOW
+        self, owned: Iterable[Job], backing_off: dict[str, float], min_priority: int = LOW
     ) -> list[PendingStart]:
-        """Admit pending starts for as many waiting tasks as fit.
+        """Place as many waiting tasks as fit and admit their pending starts to the gate.
 
-        More urgent jobs of other controllers are placed too, but not admitted: the capacity that
-        they are about to take, or that was freed for them, is not given to lesser work.
+        Urgent jobs and aged gangs of other controllers are placed too, but not admitted, so that
+        the capacity they are about to take is not given to less urgent work.
 
         Args:
             owned: the jobs that this controller schedules.
-            backing_off: jobs that are not planned, until when on the steady clock.
-            least: the least priority of the jobs that are planned.  Seen in a measured day: with
-                the store as the bottleneck, twenty starts were planned for each that could be
-                written.
+            backing_off: by job, the time on the steady clock before which it is not planned.
+            min_priority: the lowest priority that is planned.  Raised while the store is the
+                bottleneck, so that no more starts are planned than can be written.
 
         Returns:
-            The pending starts that were admitted to the gate.
+            The admitted pending starts.
         """
         cluster_view = self.cluster_view
         self.selector.next_change_s = math.inf
-        planned = self._planned(owned, backing_off, least)
+        planned = self._jobs_to_plan(owned, backing_off, min_priority)
         self.urgent = self._any_urgent(planned)
         pending = _PendingWork(cluster_view.gate)
-        budget = _FULL_COMMITS * self.store_limits.txn_ops - len(pending.by_job)
+        budget = _MAX_PENDING_TRANSACTIONS * self.store_limits.txn_ops - len(pending.by_job)
         if not planned or budget <= 0:
-            return []  # more than can be committed soon would only grow stale
-        jobs = self._in_order(planned)
+            return []  # further starts would be stale by the time of their commit
+        jobs = self._jobs_in_order(planned)
         self.reservation.release_expired(jobs)
-        least_cpus = min(job.spec.cpus for job in jobs)
-        candidates = CandidateIndex(cluster_view.usable_free_capacities(least_cpus), cluster_view)
+        min_cpus = min(job.spec.cpus for job in jobs)
+        candidates = CandidateIndex(cluster_view.usable_free_capacities(min_cpus), cluster_view)
         reserved = ReservedMachines(self.reservation, candidates, cluster_view)
         admitted: list[PendingStart] = []
-        for job, with_image_only in _turns(jobs, cluster_view):
+        for job, with_image_only in _placement_order(jobs, cluster_view):
             if budget <= 0:
                 break
-            reserved.apply_for(job)
-            known = pending.of_job(job)
+            reserved.hide_from(job)
+            job_starts = pending.starts_of(job)
             placed = self._place(job, candidates, pending, with_image_only)
             if not placed:
-                if not (known or with_image_only) and self.reservation.may_reserve(job):
+                if not (job_starts or with_image_only) and self.reservation.may_reserve(job):
                     self._reserve(job, pending)
                 continue
             if job.id in planned:
-                if not known:
+                if not job_starts:
                     budget -= 1
                 self._admit(placed)
                 admitted += placed
-            known += placed
+            job_starts += placed
         return admitted
 
-    def _planned(self, owned: Iterable[Job], backing_off: dict[str, float], least: int) -> set[str]:
-        """The jobs whose tasks are to be started in this round."""
+    def _jobs_to_plan(
+        self, owned: Iterable[Job], backing_off: dict[str, float], min_priority: int
+    ) -> set[str]:
+        """Return the IDs of the jobs whose tasks may start in this round."""
         cluster_view = self.cluster_view
         ready = cluster_view.cache.dependency_index.ready
         return {
@@ -106,7 +106,7 @@
             for job in owned
             if job.waiting > 0
             and backing_off.get(job.id, 0.0) <= cluster_view.now
-            and cluster_view.scheduling_priority(job).priority >= least
+            and cluster_view.scheduling_priority(job).priority >= min_priority
             and ready(job)
         }
 
@@ -117,35 +117,35 @@
     def _is_urgent(self, job: Job) -> bool:
         return self.cluster_view.scheduling_priority(job).priority >= HIGH
 
-    def _in_order(self, planned: set[str]) -> list[Job]:
-        """The planned jobs, and those of other controllers that capacity is kept for, in order.
+    def _jobs_in_order(self, planned: set[str]) -> list[Job]:
+        """Return the planned jobs and the other controllers' prioritized ones, in order.
 
-        These are urgent ones, and gangs that have waited long: all controllers keep the same
-        machines free for them.
+        Prioritized jobs are urgent ones and aged gangs.  All controllers place them, and so keep
+        the same machines free for them.
         """
         cluster_view = self.cluster_view
         ready = cluster_view.cache.dependency_index.ready
         jobs = [
             job
             for job in cluster_view.cache.jobs.values()
-            if job.id in planned or (job.waiting > 0 and self._keeps_capacity(job) and ready(job))
+            if job.id in planned or (job.waiting > 0 and self._is_prioritized(job) and ready(job))
         ]
         jobs.sort(key=cluster_view.order_key)
         return jobs
 
-    def _keeps_capacity(self, job: Job) -> bool:
-        return self._is_urgent(job) or (job.spec.kind == GANG and self.reservation.aged(job))
+    def _is_prioritized(self, job: Job) -> bool:
+        return self._is_urgent(job) or (job.spec.kind == GANG and self.reservation.is_aged(job))
 
     def _admit(self, pending_starts: list[PendingStart]) -> None:
         for pending_start in pending_starts:
             self.cluster_view.gate.admit(pending_start, self.cluster_view)
 
     def _reserve(self, job: Job, pending: "_PendingWork") -> None:
-        """Reserve machines for a job that found none, unless its team's limit keeps it waiting."""
-        usage = pending.usage(job.spec.team)
-        left = self.cluster_view.team_headroom(job.spec.team).minus(usage)
-        need = job.waiting if job.spec.kind == GANG else 1
-        if left.covers(job.spec, need):
+        """Reserve machines for a job that found none, unless its team's limit blocks it."""
+        usage = pending.usage_of_team(job.spec.team)
+        headroom = self.cluster_view.team_headroom(job.spec.team).minus(usage)
+        tasks_needed = job.waiting if job.spec.kind == GANG else 1
+        if headroom.covers(job.spec, tasks_needed):
             self.reservation.reserve(job)
 
     def _place(
@@ -155,45 +155,44 @@
         pending: "_PendingWork",
         with_image_only: bool,
     ) -> list[PendingStart]:
-        """Place waiting tasks of a job, and use up what they need of the candidates."""
-        capacities = candidates.of(job)
+        """Place waiting tasks of a job, and subtract what they use from the candidates."""
+        capacities = candidates.machines_for(job)
         if not capacities:
             return []
-        taken = {start.placement.task for start in pending.of_job(job)}
-        count = self._count(job, len(taken), pending)
+        pending_tasks = {start.placement.task for start in pending.starts_of(job)}
+        count = self._startable_tasks(job, len(pending_tasks), pending)
         if count <= 0:
             return []
-        chosen = self._choose(job, capacities, pending, count, with_image_only)
+        chosen = self._choose_machines(job, capacities, pending, count, with_image_only)
         if not chosen or (job.spec.kind == GANG and len(chosen) < job.waiting):
             return []
-        # Which tasks they are is looked up for those alone that found a machine.  Seen in a
-        # measured day: all waiting tasks of arrays of two thousand were listed in each round.
-        tasks = islice((task for task in job.pending() if task not in taken), len(chosen))
+        # Lazy, so that a large array's waiting tasks are not all listed in each round.
+        tasks = islice((task for task in job.pending() if task not in pending_tasks), len(chosen))
         placed = []
         for task, capacity in zip(tasks, chosen, strict=True):
-            candidates.take(capacity.id, job.spec)
+            candidates.consume(capacity.id, job.spec)
             placed.append(_pending_start(job, task, capacity))
         pending.add_usage(job.spec, len(placed))
         return placed
 
-    def _count(self, job: Job, taken: int, pending: "_PendingWork") -> int:
-        """How many tasks of a job may be started, next to so many that are about to."""
+    def _startable_tasks(self, job: Job, pending_count: int, pending: "_PendingWork") -> int:
+        """Return how many more tasks of a job may start, beside its pending ones."""
         cluster_view, spec = self.cluster_view, job.spec
-        if spec.kind == GANG and (job.live or taken):
+        if spec.kind == GANG and (job.live or pending_count):
             return 0
-        left = cluster_view.team_headroom(spec.team).minus(pending.usage(spec.team))
-        most = left.tasks_within(spec, job.waiting)
+        headroom = cluster_view.team_headroom(spec.team).minus(pending.usage_of_team(spec.team))
+        max_tasks = headroom.tasks_within(spec, job.waiting)
         if spec.kind == GANG:
-            if most < job.waiting:
+            if max_tasks < job.waiting:
                 return 0
         else:
-            most = min(most, self.most_live(spec) - len(job.live) - taken)
-        count = min(most, job.waiting - taken)
+            max_tasks = min(max_tasks, self.most_live(spec) - len(job.live) - pending_count)
+        count = min(max_tasks, job.waiting - pending_count)
         if count > 1 and cluster_view.gpu_protection.is_starved_of_gpu_machines(job):
-            return 1  # one task at a time may use what is kept for GPU work
+            return 1  # one task at a time may use the share of free GPUs
         return count
 
-    def _choose(
+    def _choose_machines(
         self,
         job: Job,
         capacities: dict[str, FreeCapacity],
@@ -201,31 +200,31 @@
         count: int,
         with_image_only: bool,
     ) -> list[FreeCapacity]:
-        """Machines for so many tasks, only those that have the image if so asked."""
+        """Return machines for at most `count` tasks, optionally only ones that have the image."""
         cluster_view, spec = self.cluster_view, job.spec
         zones = [attempt.zone for attempt in job.live.values()]
-        zones += [start.placement.zone for start in pending.of_job(job)]
-        suits: Suits | None = self.selector.starts_in_time(job)
+        zones += [start.placement.zone for start in pending.starts_of(job)]
+        is_suitable: MachineFilter | None = self.selector.in_time_filter(job)
         if with_image_only:
             with_image = cluster_view.images.candidates(spec.image)
             capacities = {name: capacities[name] for name in with_image if name in capacities}
-            suits = self._has_image_and(spec, suits)
-        return self.selector.select(spec, capacities, zones, count, suits)
+            is_suitable = self._with_image_filter(spec, is_suitable)
+        return self.selector.select(spec, capacities, zones, count, is_suitable)
 
-    def _has_image_and(self, spec: JobSpec, suits: Suits | None) -> Suits:
-        """Whether a machine has a job's image, and suits otherwise."""
+    def _with_image_filter(self, spec: JobSpec, is_suitable: MachineFilter | None) -> MachineFilter:
+        """Return a filter for machines that have a job's image and pass another filter."""
         fetch_s = self.cluster_view.fetch_s
 
-        def suits_with_image(capacity: FreeCapacity) -> bool:
-            return fetch_s(spec, capacity) <= 0 and (suits is None or suits(capacity))
+        def is_suitable_with_image(capacity: FreeCapacity) -> bool:
+            return fetch_s(spec, capacity) <= 0 and (is_suitable is None or is_suitable(capacity))
 
-        return suits_with_image
+        return is_suitable_with_image
 
 
 class _PendingWork:
-    """The starts that are not committed yet, by job, and what they use of their teams' limits.
+    """The starts that are not committed yet, by job, and their teams' usage.
 
-    Starts of other controllers' jobs, which are placed but not admitted, are counted too.
+    Starts of other controllers' jobs, which are placed but not admitted, count too.
     """
 
     def __init__(self, gate: Gate) -> None:
@@ -235,32 +234,32 @@
             self.by_job.setdefault(pending_start.spec.id, []).append(pending_start)
             self.add_usage(pending_start.spec, 1)
 
-    def of_job(self, job: Job) -> list[PendingStart]:
-        """The starts of a job; the list may be added to."""
+    def starts_of(self, job: Job) -> list[PendingStart]:
+        """Return the mutable list of a job's pending starts."""
         return self.by_job.setdefault(job.id, [])
 
-    def usage(self, team: str) -> TeamUsage:
-        """What a team's pending starts use."""
+    def usage_of_team(self, team: str) -> TeamUsage:
+        """Return the usage of a team's pending starts."""
         return self._usage.get(team, NO_USAGE)
 
     def add_usage(self, spec: JobSpec, tasks: int) -> None:
-        """So many more tasks of a job are pending."""
-        self._usage[spec.team] = self.usage(spec.team).plus(spec, tasks)
+        """Add a number of a job's tasks to its team's usage."""
+        self._usage[spec.team] = self.usage_of_team(spec.team).plus(spec, tasks)
 
 
 def _pending_start(job: Job, task: int, capacity: FreeCapacity) -> PendingStart:
-    placement = Placement(task, capacity.id, capacity.zone, capacity.session)
+    placement = Placement(task, capacity.id, capacity.zone, capacity.agent_epoch)
     return PendingStart(job.spec, placement, capacity.reporting_controller, job.dependencies)
 
 
-def _turns(jobs: list[Job], cluster_view: ClusterView) -> Iterator[tuple[Job, bool]]:
-    """The order in which jobs get machines, and whether only such as have their image.
+def _placement_order(jobs: list[Job], cluster_view: ClusterView) -> Iterator[tuple[Job, bool]]:
+    """Yield the jobs in placement order, each with whether only machines with its image count.
 
-    Among jobs of one priority, whoever has its image somewhere goes there first: a machine
-    serves twice as many short tasks when it need not fetch an image for each.
+    Jobs of one priority are first placed where their images are cached, which avoids fetches that
+    would take as long as short tasks.
     """
     for _, group in groupby(jobs, lambda job: cluster_view.scheduling_priority(job).priority):
-        alike = list(group)
-        if len({job.spec.image for job in alike}) > 1:
-            yield from ((job, True) for job in alike if job.spec.kind != GANG)
-        yield from ((job, False) for job in alike)
+        equal_priority = list(group)
+        if len({job.spec.image for job in equal_priority}) > 1:
+            yield from ((job, True) for job in equal_priority if job.spec.kind != GANG)
+        yield from ((job, False) for job in equal_priority)
--- a/src/sandladder/scheduling/premises.py
+++ b/src/sandladder/scheduling/premises.py
@@ -1,10 +1,10 @@
-"""The premises of pending starts, and how each is checked.  Pure: no I/O, no clock.
+"""The premises of pending starts, and the check of each.  Pure: no I/O, no clock.
 
 Premise, revalidation, gate, and the outcomes keep, refresh, replan and block are terms of ATR, from
 Lyu, Ren, Lai and Liu, "From Version Conflicts to Decision Conflicts: Selective Revalidation for
-Long-Running AI Agents".  There, a pending action records the typed premises on which it was
-decided, and only those that a change can reach are checked again before it takes effect.  Here a
-pending action is the start of a task that was placed on a late view of the cluster
+Long-Running AI Agents".  There, a pending action records the typed premises of its decision, and
+only the premises that a change affects are checked again before the action takes effect.  Here a
+pending action is the start of a task, placed on a possibly stale view of the cluster
 (docs/design.md, "The path of a start").
 """
 
@@ -25,36 +25,36 @@
 )
 from sandladder.scheduling.free_capacity import FreeCapacity, machine_allowed
 
-# What a premise rests on: its kind ("machine", "task", "job" or "team") and its name.  A task's
-# name is its job and number, as in "job-000001/0".
+# The resource that a premise depends on: its kind ("machine", "task", "job" or "team") and its
+# name.  A task's name is its job and number, as in "job-000001/0".
 Resource = tuple[str, str]
 
 
 class Outcome(enum.IntEnum):
-    """What a check means for a pending start; the greatest one decides."""
+    """The effect of a check on a pending start; the greatest outcome of its checks applies."""
 
-    KEEP = 0  # it stands as it is
-    REFRESH = 1  # it stands, with what was read anew
-    REPLAN = 2  # it is withdrawn, and its task is placed again
-    BLOCK = 3  # it is withdrawn; its task may not start as matters stand
+    KEEP = 0  # the start is valid as it is
+    REFRESH = 1  # the start is valid with the values that were read again
+    REPLAN = 2  # the start is withdrawn, and its task is placed again
+    BLOCK = 3  # the start is withdrawn; its task must not start in the current state
 
 
 class PremiseKind(enum.StrEnum):
     """The conditions for a start."""
 
-    FREE_CAPACITY = "free capacity"  # the task fits next to what else is on the machine
-    MACHINE_USABLE = "usable machine"  # its agent reports, in the same session, and it stays
-    MACHINE_ALLOWED = "allowed machine"  # the job's own constraints allow type, zone and kind
-    REPORTING_CONTROLLER = "reporting controller"  # its agent reports where we will send the start
+    FREE_CAPACITY = "free capacity"  # the task fits beside the machine's other tasks
+    MACHINE_USABLE = "usable machine"  # it can be given work, and its agent epoch is unchanged
+    MACHINE_ALLOWED = "allowed machine"  # the job's constraints allow its type, zone and spot kind
+    REPORTING_CONTROLLER = "reporting controller"  # the agent still reports to that controller
     TASK_WAITING = "waiting task"  # the task is neither started nor done
     JOB_LIVE = "live job"  # the job is live and not cancelled
-    ZONES = "zones"  # the job's tasks may be in these zones together
-    TEAM_LIMIT = "team limit"  # the team stays under its limit
+    ZONES = "zones"  # the job's zone constraints allow the zones of its tasks
+    TEAM_LIMIT = "team limit"  # the team stays within its limit
     DEPENDENCY_DONE = "finished dependency"  # a job that this one depends on is done
 
 
 class Premise(NamedTuple):
-    """A condition that must hold for a pending start, and what follows if it does not."""
+    """A condition that must hold for a pending start, and the outcome if it does not."""
 
     kind: PremiseKind
     resource: Resource
@@ -62,7 +62,7 @@
 
 
 class PendingStart:
-    """A task that is to start, placed but not committed, with the premises of that decision."""
+    """A start that is placed but not committed, with the premises of that decision."""
 
     __slots__ = (
         "commit_in_flight",
@@ -83,9 +83,9 @@
         self.spec = spec
         self.placement = placement
         self.reporting_controller = reporting_controller
-        self.premises = _premises(spec, placement, dependencies)
-        self.read_versions: dict[Resource, int] = {}  # the versions that were last checked
-        self.commit_in_flight = False  # it was let through for a commit whose outcome is not known
+        self.premises = _premises_of(spec, placement, dependencies)
+        self.read_versions: dict[Resource, int] = {}  # as of the last check
+        self.commit_in_flight = False  # released for a commit whose outcome is unknown
 
     @property
     def key(self) -> tuple[str, int]:
@@ -94,41 +94,41 @@
 
 
 class UnverifiablePremiseError(SandladderError):
-    """The evidence for a premise cannot be had.
+    """The evidence for a premise is missing.
 
     Attributes:
-        resource: what is not known.
+        resource: the unknown resource.
     """
 
     def __init__(self, resource: Resource) -> None:
-        super().__init__(f"nothing is known of {resource[0]} {resource[1]}")
+        super().__init__(f"no evidence about {resource[0]} {resource[1]}")
         self.resource = resource
 
 
 class Evidence(Protocol):
-    """The current state, as premises are checked against it."""
+    """The current state that premises are checked against."""
 
     def free_capacity(self, machine: str) -> FreeCapacity | None:
-        """What is free on a machine, with all pending starts counted, or None if unknown."""
+        """Return what all starts, pending ones too, leave free on a machine; None if unknown."""
 
     def job(self, job_id: str) -> Job | None:
-        """A live job."""
+        """Return a live job, or None."""
 
     def finished_job(self, job_id: str) -> FinishedJob | None:
-        """What became of a job on which others depend, if that is known."""
+        """Return a finished job on which others depend, or None if it is unknown."""
 
     def team_headroom(self, team: str) -> Headroom:
-        """What a team's live attempts leave under its limits."""
+        """Return what a team's live attempts leave of its limits."""
 
     def version(self, resource: Resource) -> int:
-        """A number that differs once something about a resource has changed."""
+        """Return a number that differs after each change of a resource."""
 
 
 def holds(premise: Premise, pending_start: PendingStart, evidence: Evidence) -> bool:
-    """Whether a premise of a pending start holds on current evidence.
+    """Return whether a premise of a pending start holds on current evidence.
 
     Raises:
-        UnverifiablePremiseError: what it rests on is not known.
+        UnverifiablePremiseError: the premise's resource is unknown.
     """
     return _CHECKS[premise.kind](pending_start, evidence, premise.resource)
 
@@ -136,27 +136,29 @@
 _Check = Callable[[PendingStart, Evidence, Resource], bool]
 
 
-def _fits(pending_start: PendingStart, evidence: Evidence, on: Resource) -> bool:
+def _free_capacity_sufficient(
+    pending_start: PendingStart, evidence: Evidence, resource: Resource
+) -> bool:
     capacity = evidence.free_capacity(pending_start.placement.machine)
     if capacity is None:
         return False
-    # The evidence counts this pending start as well, so what is left must not be negative.
+    # The free capacity already excludes this pending start, so it must not be negative.
     return min(capacity.cpus, capacity.gpus, capacity.memory_gb) >= -EPSILON
 
 
-def _machine_usable(pending_start: PendingStart, evidence: Evidence, on: Resource) -> bool:
+def _machine_usable(pending_start: PendingStart, evidence: Evidence, resource: Resource) -> bool:
     capacity = evidence.free_capacity(pending_start.placement.machine)
     return (
         capacity is not None
         and capacity.usable
-        and capacity.session == pending_start.placement.agent_epoch
+        and capacity.agent_epoch == pending_start.placement.agent_epoch
     )
 
 
-def _machine_allowed(pending_start: PendingStart, evidence: Evidence, on: Resource) -> bool:
+def _machine_allowed(pending_start: PendingStart, evidence: Evidence, resource: Resource) -> bool:
     capacity = evidence.free_capacity(pending_start.placement.machine)
     if capacity is None:
-        raise UnverifiablePremiseError(on)
+        raise UnverifiablePremiseError(resource)
     return (
         machine_allowed(pending_start.spec, capacity)
         and capacity.zone == pending_start.placement.zone
@@ -164,7 +166,7 @@
 
 
 def _same_reporting_controller(
-    pending_start: PendingStart, evidence: Evidence, on: Resource
+    pending_start: PendingStart, evidence: Evidence, resource: Resource
 ) -> bool:
     capacity = evidence.free_capacity(pending_start.placement.machine)
     if capacity is None or capacity.reporting_controller == pending_start.reporting_controller:
@@ -173,43 +175,43 @@
     return False
 
 
-def _task_waiting(pending_start: PendingStart, evidence: Evidence, on: Resource) -> bool:
+def _task_waiting(pending_start: PendingStart, evidence: Evidence, resource: Resource) -> bool:
     job = evidence.job(pending_start.spec.id)
     if job is None:
-        raise UnverifiablePremiseError(on)
+        raise UnverifiablePremiseError(resource)
     task = pending_start.placement.task
     return task not in job.live and task not in job.done
 
 
-def _job_live(pending_start: PendingStart, evidence: Evidence, on: Resource) -> bool:
+def _job_live(pending_start: PendingStart, evidence: Evidence, resource: Resource) -> bool:
     job = evidence.job(pending_start.spec.id)
     return job is not None and not job.cancelled
 
 
-def _zones_allowed(pending_start: PendingStart, evidence: Evidence, on: Resource) -> bool:
+def _zones_allowed(pending_start: PendingStart, evidence: Evidence, resource: Resource) -> bool:
     job = evidence.job(pending_start.spec.id)
     if job is None:
-        raise UnverifiablePremiseError(on)
+        raise UnverifiablePremiseError(resource)
     if not (pending_start.spec.one_zone or pending_start.spec.spread):
         return pending_start.spec.zone in (None, pending_start.placement.zone)
     zones = [attempt.zone for attempt in job.live.values()]
     return zones_allowed(pending_start.spec, [*zones, pending_start.placement.zone])
 
 
-def _under_team_limit(pending_start: PendingStart, evidence: Evidence, on: Resource) -> bool:
+def _under_team_limit(pending_start: PendingStart, evidence: Evidence, resource: Resource) -> bool:
     return evidence.team_headroom(pending_start.spec.team).covers(pending_start.spec)
 
 
-def _dependency_done(pending_start: PendingStart, evidence: Evidence, on: Resource) -> bool:
-    """A committed fact that never changes once it is known."""
-    finished = evidence.finished_job(on[1])
+def _dependency_done(pending_start: PendingStart, evidence: Evidence, resource: Resource) -> bool:
+    """Return whether a dependency is done; its outcome never changes once it is committed."""
+    finished = evidence.finished_job(resource[1])
     if finished is None:
-        raise UnverifiablePremiseError(on)
+        raise UnverifiablePremiseError(resource)
     return finished.state == DONE
 
 
 class _Condition(NamedTuple):
-    """A kind of premise: what it rests on, what follows if it does not hold, how it is checked."""
+    """A kind of premise, with its kind of resource, the outcome if it fails, and its check."""
 
     kind: PremiseKind
     resource_kind: str
@@ -217,9 +219,9 @@
     check: _Check
 
 
-# The premises of each start; of those equally severe that fail, the first is the reason.
+# The premises of each start.  Of several failed premises of equal severity, the first is reported.
 _CONDITIONS = (
-    _Condition(PremiseKind.FREE_CAPACITY, "machine", Outcome.REPLAN, _fits),
+    _Condition(PremiseKind.FREE_CAPACITY, "machine", Outcome.REPLAN, _free_capacity_sufficient),
     _Condition(PremiseKind.MACHINE_USABLE, "machine", Outcome.REPLAN, _machine_usable),
     _Condition(PremiseKind.MACHINE_ALLOWED, "machine", Outcome.BLOCK, _machine_allowed),
     _Condition(
@@ -230,7 +232,7 @@
     _Condition(PremiseKind.ZONES, "job", Outcome.REPLAN, _zones_allowed),
     _Condition(PremiseKind.TEAM_LIMIT, "team", Outcome.REPLAN, _under_team_limit),
 )
-# One more for each job that the start depends on.
+# The premise for each job that the start depends on.
 _DEPENDENCY_CONDITION = _Condition(
     PremiseKind.DEPENDENCY_DONE, "job", Outcome.BLOCK, _dependency_done
 )
@@ -239,10 +241,10 @@
 }
 
 
-def _premises(
+def _premises_of(
     spec: JobSpec, placement: Placement, dependencies: Iterable[str]
 ) -> tuple[Premise, ...]:
-    """The premises of a start."""
+    """Return the premises of a start."""
     resources = {
         "machine": ("machine", placement.machine),
         "task": ("task", f"{spec.id}/{placement.task}"),
--- a/src/sandladder/scheduling/victim_selection.py
+++ b/src/sandladder/scheduling/victim_selection.py
@@ -1,4 +1,4 @@
-"""The cheapest running tasks whose end makes a waiting task fit on a machine.
+"""Selection of the cheapest running tasks to preempt for a waiting task.
 
 Pure: no I/O, no clock.
 """
@@ -11,14 +11,14 @@
 from sandladder.scheduling.machine_observations import MachineDeparture
 from sandladder.scheduling.machine_selection import MachineSelector
 
-# A task that is stopped may take so many times as long as its checkpoint takes.
-GRACE = 1.5
-# What the loss of a task costs where it writes a checkpoint first, as a share of its run.
+# The grace period of a stopped task, as a multiple of the time that it takes to save its state.
+GRACE_SAVE_TIMES = 1.5
+# The share of a task's run that is lost if it writes a checkpoint before it is stopped.
 _CHECKPOINTED_LOSS = 0.2
 
 
 class WaitingTask(NamedTuple):
-    """A task for which another is preempted."""
+    """A waiting task for which others are preempted."""
 
     job: str
     task: int
@@ -28,7 +28,7 @@
 
 
 class PreemptionVictim(NamedTuple):
-    """A running task that is to be stopped, and for what: more urgent work, or its move."""
+    """A running task to stop, for a more urgent task or because its machine is about to leave."""
 
     job: str
     task: int
@@ -46,7 +46,7 @@
 
 
 class VictimSelector:
-    """Selects the tasks to preempt for a waiting one."""
+    """Selects the tasks to preempt for a waiting task."""
 
     def __init__(self, cluster_view: ClusterView, selector: MachineSelector) -> None:
         self._cluster_view = cluster_view
@@ -58,38 +58,38 @@
         task: int,
         within_s: float,
         chosen: set[tuple[str, int]],
-        emptied: frozenset[str],
+        machines_with_stops: frozenset[str],
     ) -> list[PreemptionVictim] | None:
-        """The cheapest set of tasks on one machine whose end frees enough for a waiting task.
+        """Return the cheapest set of tasks on one machine to preempt for a waiting task.
 
         Args:
             job: the job of the waiting task.
-            task: the waiting task.
-            within_s: within which time it must start.
-            chosen: tasks that are to be stopped for others.
-            emptied: machines on which tasks are to be stopped for others.
+            task: the number of the waiting task.
+            within_s: the time within which it must start, in seconds.
+            chosen: tasks that are already preempted for other tasks, by job and number.
+            machines_with_stops: machines on which tasks are to be stopped for other tasks.
 
         Returns:
             None if there is no such set, or if none is needed.
         """
         cluster_view, spec = self._cluster_view, job.spec
         zones = [attempt.zone for attempt in job.live.values()]
-        in_time = self._selector.starts_in_time(job)
+        is_in_time = self._selector.in_time_filter(job)
         waiting_task = WaitingTask(job.id, task)
         best: tuple[float, list[PreemptionVictim]] | None = None
         for machine, capacity in cluster_view.usable_free_capacities().items():
-            if machine in emptied or not machine_allowed(spec, capacity):
+            if machine in machines_with_stops or not machine_allowed(spec, capacity):
                 continue
             if not zones_allowed(spec, [*zones, capacity.zone]):
                 continue
-            if in_time is not None and not in_time(capacity):
+            if is_in_time is not None and not is_in_time(capacity):
                 continue
-            found = self._on_machine(capacity, spec, waiting_task, within_s, chosen)
-            if found is not None and (best is None or found[0] < best[0]):
-                best = found
+            selection = self._select_on_machine(capacity, spec, waiting_task, within_s, chosen)
+            if selection is not None and (best is None or selection[0] < best[0]):
+                best = selection
         return best[1] if best else None
 
-    def _on_machine(
+    def _select_on_machine(
         self,
         capacity: FreeCapacity,
         spec: JobSpec,
@@ -97,10 +97,10 @@
         within_s: float,
         chosen: set[tuple[str, int]],
     ) -> tuple[float, list[PreemptionVictim]] | None:
-        """The tasks on one machine whose end frees enough for a waiting task, and their cost."""
+        """Return the tasks on a machine to preempt for a waiting task, and their cost, or None."""
         running = [_Running(*item) for item in self._cluster_view.cache.attempts_on(capacity.id)]
         if any(item.attempt.stop is not None for item in running):
-            return None  # tasks are being stopped there already
+            return None  # its capacity after these stops is not known yet
         cpus, gpus, memory_gb = capacity.cpus, capacity.gpus, capacity.memory_gb
         cost = 2 * self._cluster_view.fetch_s(spec, capacity)
         victims: list[PreemptionVictim] = []
@@ -108,18 +108,18 @@
         for item in running:
             if fits(spec, cpus, gpus, memory_gb):
                 break
-            lesser = item.job.spec
-            if lesser.priority >= spec.priority or lesser.kind != ARRAY:
+            victim_spec = item.job.spec
+            if victim_spec.priority >= spec.priority or victim_spec.kind != ARRAY:
                 continue
             if (item.job.id, item.task) in chosen:
                 continue
-            cpus += lesser.cpus
-            gpus += lesser.gpus
-            memory_gb += lesser.memory_gb
-            saves = lesser.checkpoint_s > 0 and 2 * lesser.save_s < within_s
-            loss = _CHECKPOINTED_LOSS if saves else 1.0
-            cost += (lesser.estimate_s * lesser.cpus / spec.cpus) * loss
-            grace_s = GRACE * lesser.save_s if saves else 0.0
+            cpus += victim_spec.cpus
+            gpus += victim_spec.gpus
+            memory_gb += victim_spec.memory_gb
+            writes_checkpoint = victim_spec.checkpoint_s > 0 and 2 * victim_spec.save_s < within_s
+            loss = _CHECKPOINTED_LOSS if writes_checkpoint else 1.0
+            cost += (victim_spec.estimate_s * victim_spec.cpus / spec.cpus) * loss
+            grace_s = GRACE_SAVE_TIMES * victim_spec.save_s if writes_checkpoint else 0.0
             victims.append(
                 PreemptionVictim(item.job.id, item.task, capacity.id, grace_s, waiting_task)
             )
--- a/tests/test_large_and_small_jobs.py
+++ b/tests/test_large_and_small_jobs.py
@@ -1,4 +1,4 @@
-"""Load: large jobs among small ones, more work than capacity, zones that lose machines."""
+"""Load tests: large jobs among small ones, overload, and zones that lose machines."""
 
 from collections import Counter
 from typing import Any
@@ -19,7 +19,7 @@
 from simulation.faults import restart, running_machines
 from simulation.workloads import wait_until_healthy
 
-# The largest jobs of a class have to start within so long.
+# The time within which the large jobs must start, in seconds.
 START_WITHIN_S = 240.0
 
 
@@ -32,7 +32,7 @@
 @pytest.mark.parametrize("form", ["array", "group", "whole machine"])
 @pytest.mark.parametrize("seed", [1200, 1201])
 def test_the_largest_jobs_start_under_more_work_than_capacity(form: str, seed: int) -> None:
-    """Small and urgent jobs come all the while, over slow links; the large ones are in time."""
+    """Guards against the starvation of large jobs by small and urgent ones, over slow links."""
     cluster = SimulatedCluster(seed, cancel_s=CANCEL_S)
     cluster.cloud.capacity = 3
     kinds: dict[str, dict[str, Any]] = {
@@ -40,19 +40,19 @@
         "group": {"entries": 5, "vcpus": 2.0, "form": "group"},
         "whole machine": {"entries": 1, "vcpus": 4.0, "breeds": ["small"]},
     }
-    started_tasks: dict[str, float] = {}
+    first_start_at: dict[str, float] = {}
 
     async def main() -> None:
         await wait_until_healthy(cluster)
-        offered: dict[str, float] = {}
+        submitted_at: dict[str, float] = {}
         large = [
             job(900 + n, ram_gb=1.0, expect_s=4.0, docket="large", **kinds[form]) for n in range(4)
         ]
         ids: list[str] = []
-        began, number = now(), 0
+        started_at, number = now(), 0
         cluster.network.delay_s = 0.25
-        while now() < began + 200.0:
-            if large and now() - began > 20.0 * (5 - len(large)):
+        while now() < started_at + 200.0:
+            if large and now() - started_at > 20.0 * (5 - len(large)):
                 spec = large.pop()
             else:
                 urgent = number % 3 == 0
@@ -62,25 +62,25 @@
                 )  # fmt: skip
                 number += 1
             ids.append(spec["id"])
-            offered[spec["id"]] = now()
+            submitted_at[spec["id"]] = now()
             cluster.network.tasks.start_soon(cluster.submit, spec, 240)
             await anyio.sleep(cluster.rng.uniform(1.3, 2.7))
-            waits = [i for i in ids if i in cluster.accepted and not running_tasks(cluster, i)]
-            cluster.observed["more work than capacity"] += len(waits) > 5
+            waiting = [i for i in ids if i in cluster.accepted and not running_tasks(cluster, i)]
+            cluster.observed["more work than capacity"] += len(waiting) > 5
             for _, name in running_tasks(cluster):
-                started_tasks.setdefault(name.partition("/")[0], now())
+                first_start_at.setdefault(name.partition("/")[0], now())
         cluster.network.delay_s = 0.01
-        while now() < began + 200.0 + START_WITHIN_S and len(started_tasks) < len(ids):
+        while now() < started_at + 200.0 + START_WITHIN_S and len(first_start_at) < len(ids):
             await anyio.sleep(0.5)
             for _, name in running_tasks(cluster):
-                started_tasks.setdefault(name.partition("/")[0], now())
-        largest = [job_id for job_id in ids if cluster.specs[job_id]["docket"] == "large"]
+                first_start_at.setdefault(name.partition("/")[0], now())
+        large_ids = [job_id for job_id in ids if cluster.specs[job_id]["docket"] == "large"]
         late = {
-            job_id: started_tasks.get(job_id, now()) - offered[job_id]
-            for job_id in largest
-            if started_tasks.get(job_id, now()) - offered[job_id] > START_WITHIN_S
+            job_id: first_start_at.get(job_id, now()) - submitted_at[job_id]
+            for job_id in large_ids
+            if first_start_at.get(job_id, now()) - submitted_at[job_id] > START_WITHIN_S
         }
-        assert not late, f"the largest started too late: {late}"
+        assert not late, f"large jobs started too late: {late}"
         await check_recovery(cluster, ids, 600.0)
 
     run_and_expect(cluster, main, "more work than capacity")
@@ -88,7 +88,7 @@
 
 @pytest.mark.parametrize("form", ["array", "group", "service"])
 def test_jobs_bound_to_a_zone_finish_though_machines_are_lost(form: str) -> None:
-    """Capacity comes back in the other zone first; a leader ends meanwhile."""
+    """Capacity returns in the other zone first, and the leader restarts meanwhile."""
     cluster = SimulatedCluster(1220 + ["array", "group", "service"].index(form), cancel_s=CANCEL_S)
     zone = ZONES[1]
     service = form == "service"
@@ -113,11 +113,11 @@
                 await anyio.sleep(0.2)
         for _ in range(2):
             cluster.cloud.full_zones = {zone}
-            of_zone = [w for w in running_machines(cluster) if w.zone == zone]
+            machines_in_zone = [w for w in running_machines(cluster) if w.zone == zone]
             cluster.observed["bound tasks lost"] += sum(
-                w in of_zone for w, _ in running_tasks(cluster, *bound)
+                w in machines_in_zone for w, _ in running_tasks(cluster, *bound)
             )
-            for worker in of_zone:
+            for worker in machines_in_zone:
                 worker.terminate(cluster.rng.random() < 0.5)
             await restart(cluster, leader(cluster), 1.0)
             await anyio.sleep(20.0)
@@ -139,11 +139,14 @@
 def test_four_small_jobs_a_second_cost_bounded_writes_and_memory(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """For minutes; a quarter is cancelled.  What each costs and what is kept of them stays bounded."""
+    """Guards against memory that grows with finished jobs, and against extra writes per job.
+
+    A quarter of the jobs is cancelled.
+    """
     monkeypatch.setattr(job_tables, "FINISHED_JOBS_KEPT", 64)
     cluster = SimulatedCluster(1240, cancel_s=CANCEL_S, write_rps=60.0)
     cluster.store.write_rps = 60.0
-    kept: Counter[str] = Counter()
+    max_sizes: Counter[str] = Counter()
 
     def small_job(number: int) -> dict[str, Any]:
         return job(
@@ -152,7 +155,7 @@
         )  # fmt: skip
 
     def sizes(node: Any) -> dict[str, int]:
-        """What a controller keeps of jobs, by where."""
+        """Return the number of entries in each of a controller's tables."""
         work, cache = node.job_committer, node.cache
         return {
             "finished jobs": len(cache.finished_jobs),
@@ -168,8 +171,8 @@
     async def main() -> None:
         await wait_until_healthy(cluster)
         ids: list[str] = []
-        began = now()
-        while now() < began + 180.0:
+        started_at = now()
+        while now() < started_at + 180.0:
             spec = small_job(len(ids))
             ids.append(spec["id"])
             cluster.network.tasks.start_soon(cluster.submit, spec, 240)
@@ -179,25 +182,25 @@
                     cluster.observed["cancelled"] += 1
                     cluster.network.tasks.start_soon(cluster.cancel, chosen, 240)
             await anyio.sleep(0.25)
-            if now() > began + 60.0:
-                half = "first" if now() < began + 120.0 else "second"
+            if now() > started_at + 60.0:
+                half = "first" if now() < started_at + 120.0 else "second"
                 for node in cluster.nodes.values():
                     for name, size in sizes(node).items():
-                        kept[f"{half} {name}"] = max(kept[f"{half} {name}"], size)
+                        max_sizes[f"{half} {name}"] = max(max_sizes[f"{half} {name}"], size)
         jobs = len(ids)
-        cluster.observed["as many as that"] += jobs >= 700
+        cluster.observed["700 jobs submitted"] += jobs >= 700
         writes = sum(
             count for kind, count in cluster.store.writes.items() if kind in ("s/j/", "s/f/")
         )
         await check_recovery(cluster, ids)
-        # Accepted, started, ended, filed in two: five changes, and hardly any more.
+        # Five writes are expected per job: accepted, started, ended, and two to archive it.
         assert writes <= 6.2 * jobs, writes / jobs
         for name in (
             "finished jobs", "live", "versions", "proved", "unarchived", "queue", "gate", "avoid",
         ):  # fmt: skip
-            first, second = kept[f"first {name}"], kept[f"second {name}"]
+            first, second = max_sizes[f"first {name}"], max_sizes[f"second {name}"]
             assert second <= 1.5 * first + 40, f"{name} grew from {first} to {second}"
-        # Forgotten by every controller, and still known.
+        # The store still answers for jobs that every controller has evicted from its cache.
         early = ids[:20]
         assert not any(
             node.cache.finished_jobs.keys() & set(early) for node in cluster.nodes.values()
@@ -206,23 +209,23 @@
             body = await cluster.poll(job_id)
             assert body is not None and body["standing"] in ("done", "cancelled")
 
-    run_and_expect(cluster, main, "cancelled", "as many as that")
+    run_and_expect(cluster, main, "cancelled", "700 jobs submitted")
 
 
 def test_mixed_work_beyond_capacity_finishes_over_slow_links() -> None:
-    """Urgent and not, arrays and gangs; a leader ends.  Nothing waits where there is capacity."""
+    """Urgent and other arrays and gangs finish although the leader restarts."""
     cluster = SimulatedCluster(1250, cancel_s=CANCEL_S)
     cluster.cloud.capacity = 4
 
-    async def slow_links_and_a_lost_leader(cluster: SimulatedCluster) -> None:
+    async def slow_links_and_leader_restart(cluster: SimulatedCluster) -> None:
         await slow_links(cluster)
         await restart(cluster, leader(cluster), 2.0)
         await slow_links(cluster)
-        cluster.observed["it waited"] += sum(
+        cluster.observed["jobs waited"] += sum(
             not running_tasks(cluster, i) for i in cluster.accepted
         )
 
-    def wide_job(cluster: SimulatedCluster, number: int) -> dict[str, Any]:
+    def random_job(cluster: SimulatedCluster, number: int) -> dict[str, Any]:
         kind = cluster.rng.choice(
             [
                 {"entries": 8, "rank": "urgent", "expect_s": 3.0},
@@ -235,7 +238,12 @@
 
     async def main() -> None:
         await run_with_faults(
-            cluster, (slow_links_and_a_lost_leader,), 40, wide_job, cancels=0.1, every_s=(0.1, 0.5)
+            cluster,
+            (slow_links_and_leader_restart,),
+            40,
+            random_job,
+            cancels=0.1,
+            every_s=(0.1, 0.5),
         )
 
-    run_and_expect(cluster, main, "it waited")
+    run_and_expect(cluster, main, "jobs waited")
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Which machine a waiting task is placed on, and what finding it costs."""
+"""The placement of waiting tasks on machines, and its cost."""
 
 from collections import Counter
 from typing import Any
@@ -23,22 +23,26 @@
     return {pending_start.placement.machine for pending_start in pending_starts}
 
 
-def test_capacity_of_a_proved_end_is_free_before_it_is_committed() -> None:
+def test_capacity_of_an_attempt_is_free_between_its_proved_end_and_the_commit() -> None:
     cluster_view, _, cache, _ = scene()
     job = commit_starts(cluster_view, accept(cache, entries=2), "vm-1")
-    before = cluster_view.free_capacity("vm-1")
+    before_end = cluster_view.free_capacity("vm-1")
     ended = EndedAttempt(job.id, 0, job.live[0], "done")
     cluster_view.note_ended(ended)
-    after = cluster_view.free_capacity("vm-1")
-    assert before and after and after.cpus == before.cpus + job.spec.cpus
+    after_end = cluster_view.free_capacity("vm-1")
+    assert before_end and after_end and after_end.cpus == before_end.cpus + job.spec.cpus
     assert cluster_view.is_idle("vm-1")
     transaction = Transaction(cache)
     assert end(transaction, [ended], 0.0)
     commit(cache, transaction)
     cluster_view.machine_changed("vm-1")
     cluster_view.forget_missing()
-    again = cluster_view.free_capacity("vm-1")
-    assert again and again.cpus == after.cpus and not cluster_view.free_capacities.ended
+    after_commit = cluster_view.free_capacity("vm-1")
+    assert (
+        after_commit
+        and after_commit.cpus == after_end.cpus
+        and not cluster_view.free_capacities.ended
+    )
 
 
 def test_tasks_are_spread_over_zones_or_placed_in_one_zone() -> None:
@@ -59,50 +63,54 @@
 
 
 def test_scale_out_counts_only_zones_that_may_take_more_replicas() -> None:
-    """Found by a search: the full zone's idle capacity counted, and nothing was rented elsewhere."""
+    """Guards against counting idle capacity in a full zone and renting nothing elsewhere."""
     cluster_view, _, cache, _ = scene()
-    web = accept(cache, number=9, entries=3, form="service", apart=True, loaners=False, vcpus=4.0)
-    commit_starts(cluster_view, web, "vm-2", "vm-2")
-    # More would fit on vm-2 in the south, but two of three are there; the north has nothing free.
+    service = accept(
+        cache, number=9, entries=3, form="service", apart=True, loaners=False, vcpus=4.0
+    )
+    commit_starts(cluster_view, service, "vm-2", "vm-2")
+    # vm-2 in the south has room, but runs two of three replicas; the north has no usable machine.
     cluster_view.avoid_machine("vm-1", 100.0)
     requests = ScalingPolicy(cluster_view).scale_out_requests(0.0)
     assert {request.zone for request in requests} == {"north"} and requests[0].number == 1
 
 
-def test_waiting_tasks_are_listed_only_as_far_as_machines_are_found(
+def test_planning_lists_only_as_many_waiting_tasks_as_it_places(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A full cluster costs nothing for each waiting task; seen with arrays of two thousand."""
+    """Guards against a cost per waiting task of a large array in each planning round."""
     cluster_view, planner, cache, _ = scene(value_kb=16.0)
     monkeypatch.setitem(cluster_view.team_limits, "red", TeamLimits("red"))
-    big = accept(cache, entries=2000, vcpus=1.0, ram_gb=0.1)
+    large_array = accept(cache, entries=2000, vcpus=1.0, ram_gb=0.1)
     listed = 0
     gaps = Ranges.gaps
 
-    def counted(self: Ranges, end: int):
+    def counting_gaps(self: Ranges, end: int):
         nonlocal listed
         for task in gaps(self, end):
             listed += 1
             yield task
 
-    monkeypatch.setattr(Ranges, "gaps", counted)
-    placed = planner.plan([big], {})
-    # Two machines of 4 and 16 CPUs; each start costs a step, beside those placed already.
+    monkeypatch.setattr(Ranges, "gaps", counting_gaps)
+    placed = planner.plan([large_array], {})
+    # Two machines of 4 and 16 CPUs; each placed task is listed once.
     assert len(placed) == 20 and listed <= 20
     listed = 0
-    assert planner.plan([big], {}) == [] and listed == 0
+    assert planner.plan([large_array], {}) == [] and listed == 0
 
 
-def test_placing_a_job_looks_at_a_sample_of_the_machines(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Counted over clusters of two sizes; seen with 1,300 workers: 24 jobs took 150 ms to place."""
-    looked: Counter[int] = Counter()
+def test_placing_a_job_examines_only_a_sample_of_the_machines(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Guards against a cost per placed job that grows with the cluster."""
+    machines_examined: Counter[int] = Counter()
     fetch_s = ClusterView.fetch_s
 
-    def counted(self: ClusterView, spec: JobSpec, capacity: FreeCapacity) -> float:
-        looked[size] += 1
+    def counting_fetch_s(self: ClusterView, spec: JobSpec, capacity: FreeCapacity) -> float:
+        machines_examined[size] += 1
         return fetch_s(self, spec, capacity)
 
-    monkeypatch.setattr(ClusterView, "fetch_s", counted)
+    monkeypatch.setattr(ClusterView, "fetch_s", counting_fetch_s)
     for size in (300, 1200):
         cluster_view, planner, cache, reconciler = scene(value_kb=16.0)
         cluster_view.team_limits["red"] = TeamLimits("red")
@@ -115,4 +123,4 @@
             )
         jobs = [accept(cache, number=n, entries=1, vcpus=1.0, parcel=f"img-{n}") for n in range(24)]
         assert len(planner.plan(jobs, {})) == 24
-    assert looked[1200] < 1.1 * looked[300]
+    assert machines_examined[1200] < 1.1 * machines_examined[300]
--- a/tests/test_premises.py
+++ b/tests/test_premises.py
@@ -1,4 +1,4 @@
-"""The gate: selective checks, the worst outcome decides, what cannot be checked is blocked."""
+"""The gate: selective revalidation, and the outcomes of failed and unverifiable premises."""
 
 from helpers import accept, scene, spec
 from sandladder.model import Placement
@@ -6,20 +6,20 @@
 from scheduling_scenes import commit_placements
 
 
-def test_a_change_rechecks_only_what_it_reaches_and_the_worst_outcome_decides() -> None:
+def test_a_change_rechecks_only_affected_premises_and_the_worst_outcome_applies() -> None:
     cluster_view, planner, cache, _ = scene()
     job = accept(cache, entries=3)
     pending_starts = planner.plan([job], {})
     assert len(pending_starts) == 3
     gate = cluster_view.gate
-    before = gate.checked
+    checked_before = gate.checked
     assert gate.revalidate([("machine", "vm-9"), ("team", "blue")], cluster_view) == []
-    assert gate.checked == before
+    assert gate.checked == checked_before
     verdicts = gate.revalidate([("team", "red")], cluster_view)
     assert [verdict.outcome for verdict in verdicts] == [Outcome.KEEP] * 3
     assert [verdict.failed_premise for verdict in verdicts] == [None] * 3
-    assert gate.checked == before + 3 < gate.full_scan_checks
-    # Somebody else started task 0, and its machine went silent: block outweighs replan.
+    assert gate.checked == checked_before + 3 < gate.full_scan_checks
+    # Another controller started task 0, and its machine went silent: block outweighs replan.
     commit_placements(cache, job, [Placement(0, "vm-2", "south", 1)])
     cluster_view.now = 100.0
     machine = ("machine", pending_starts[0].placement.machine)
@@ -29,7 +29,7 @@
     assert all(outcome is Outcome.REPLAN for task, outcome in outcomes.items() if task)
 
 
-def test_what_cannot_be_checked_is_blocked() -> None:
+def test_a_start_with_an_unverifiable_premise_is_blocked() -> None:
     cluster_view, planner, cache, _ = scene()
     pending_start = planner.plan([accept(cache, entries=1)], {})[0]
     cluster_view.now = 1000.0
@@ -41,7 +41,7 @@
     assert not cluster_view.gate.pending
 
 
-def test_another_reporting_controller_only_refreshes() -> None:
+def test_a_changed_reporting_controller_only_refreshes_a_start() -> None:
     cluster_view, planner, cache, _ = scene()
     pending_start = planner.plan([accept(cache, entries=1)], {})[0]
     pending_start.reporting_controller = "node-7"
--- a/tests/test_reservation.py
+++ b/tests/test_reservation.py
@@ -1,4 +1,4 @@
-"""Machines reserved for gangs and large tasks, and from whom they are kept."""
+"""Reservations of machines for gangs and large tasks."""
 
 from collections import Counter
 from typing import Any
@@ -20,8 +20,8 @@
 LARGE: dict[str, Any] = {"vcpus": 2.0, "ram_gb": 1.0, "breeds": ["large"]}
 
 
-def test_machines_are_reserved_for_a_gang_that_has_waited_long_but_not_from_urgent_work() -> None:
-    """Small jobs come all the while; without the reservation each takes what comes free."""
+def test_an_aged_gang_reserves_machines_that_urgent_jobs_may_still_use() -> None:
+    """Without a reservation, small jobs take each piece of freed capacity, and the gang starves."""
     cluster_view, planner, cache, _ = scene()
     filler = accept(cache, number=1, entries=4, **LARGE)
     commit_starts(cluster_view, filler, *["vm-2"] * 4)
@@ -29,21 +29,21 @@
     small = accept(cache, number=3, entries=2, **LARGE)
     urgent = accept(cache, number=4, entries=1, rank="urgent", **LARGE)
 
-    def planned() -> list[str]:
+    def planned_job_ids() -> list[str]:
         jobs = [cache.jobs[job.id] for job in (gang, small, urgent)]
-        found = [pending_start.spec.id for pending_start in planner.plan(jobs, {})]
+        job_ids = [pending_start.spec.id for pending_start in planner.plan(jobs, {})]
         withdraw_all(cluster_view.gate)
-        return found
+        return job_ids
 
-    # It has not waited long: what fits goes first.
-    assert sorted(set(planned())) == [small.id, urgent.id]
+    # The gang has not aged yet, so it has no reservation.
+    assert sorted(set(planned_job_ids())) == [small.id, urgent.id]
     lease_s = cluster_view.settings.platform.deployment.workers.lease_s
     cluster_view.now = 4 * lease_s + 1.0
     send_heartbeats(cluster_view, 2)
-    assert set(planned()) == {urgent.id}
+    assert set(planned_job_ids()) == {urgent.id}
     assert planner.reservation.reserved == {gang.id: {"vm-2"}}
-    assert set(planned()) == {urgent.id}
-    # What runs there ends, and the gang has the machine; then it is anyone's again.
+    assert set(planned_job_ids()) == {urgent.id}
+    # The gang starts once the machine is empty, and the reservation is released.
     commit_ends(cluster_view, filler)
     placed = planner.plan([cache.jobs[gang.id]], {})
     assert [pending_start.spec.id for pending_start in placed] == [gang.id] * 7
@@ -59,7 +59,7 @@
     [{"entries": 20, "vcpus": 2.0}, {"entries": 8, "vcpus": 2.0, "bureau": "blue"}],
     ids=["fits no machines", "over its team's limit"],
 )
-def test_no_machines_are_reserved_if_none_fit_a_job_or_its_team_may_not_use_them(
+def test_a_job_that_fits_nowhere_or_exceeds_its_team_limit_reserves_no_machines(
     fields: dict[str, Any],
 ) -> None:
     cluster_view, planner, cache, _ = scene()
@@ -68,45 +68,45 @@
     cluster_view.now = 1000.0
     send_heartbeats(cluster_view, 2)
     assert planner.plan([gang], {}) == []
-    assert planner.reservation.aged(gang)
+    assert planner.reservation.is_aged(gang)
     assert planner.reservation.reserved == {}
 
 
-def test_machines_to_reserve_are_looked_for_once_in_a_heartbeat_interval(
+def test_a_failed_search_for_machines_is_repeated_once_per_heartbeat_interval(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """However many gangs wait for machines that are not there, and however often it is planned."""
-    looked: Counter[str] = Counter()
-    places = Reservation._places
+    """Guards against a scan of all machines per waiting gang in each planning round."""
+    searches: Counter[str] = Counter()
+    find_slots = Reservation._find_slots
 
-    def counted(self: Reservation, spec: JobSpec) -> Any:
-        looked[spec.id] += 1
-        return places(self, spec)
+    def counting_find_slots(self: Reservation, spec: JobSpec) -> Any:
+        searches[spec.id] += 1
+        return find_slots(self, spec)
 
-    monkeypatch.setattr(Reservation, "_places", counted)
+    monkeypatch.setattr(Reservation, "_find_slots", counting_find_slots)
     cluster_view, planner, cache, _ = scene()
-    wide: dict[str, Any] = {"entries": 20, "vcpus": 2.0, "ram_gb": 1.0, "form": "group"}
-    gangs = [accept(cache, number=number, **wide) for number in range(5)]
+    too_wide: dict[str, Any] = {"entries": 20, "vcpus": 2.0, "ram_gb": 1.0, "form": "group"}
+    gangs = [accept(cache, number=number, **too_wide) for number in range(5)]
     report_s = cluster_view.settings.platform.deployment.workers.report_s
-    began = cluster_view.now = 1000.0
+    started_at = cluster_view.now = 1000.0
     seq = 2
-    while cluster_view.now < began + 10 * report_s:
+    while cluster_view.now < started_at + 10 * report_s:
         send_heartbeats(cluster_view, seq)
         planner.plan(gangs, {})
         cluster_view.now += report_s / 32
         seq += 1
-    assert len(looked) == 5
-    assert max(looked.values()) <= 11
+    assert len(searches) == 5
+    assert max(searches.values()) <= 11
 
 
-def test_urgent_gangs_get_a_reservation_each_at_once() -> None:
-    """Seen in a measured day: each GPU that came free went to an array, and gangs found no machine."""
+def test_each_urgent_gang_reserves_machines_immediately() -> None:
+    """Without one, arrays take each freed GPU, and gangs that need whole machines starve."""
     cluster_view, planner, cache, _ = scene()
-    whole: dict[str, Any] = {"vcpus": 4.0, "ram_gb": 1.0, "form": "group", "entries": 1}
+    whole_machine: dict[str, Any] = {"vcpus": 4.0, "ram_gb": 1.0, "form": "group", "entries": 1}
     filler = accept(cache, number=1, entries=20, vcpus=1.0, ram_gb=1.0)
     filler = commit_starts(cluster_view, filler, "vm-1", *["vm-2"] * 14)
-    gangs = [accept(cache, number=2 + n, rank="urgent", **whole) for n in range(2)]
-    # Two cores are free on the large machine and three on the small one: none is given away.
+    gangs = [accept(cache, number=2 + n, rank="urgent", **whole_machine) for n in range(2)]
+    # Two cores are free on the large machine and three on the small one; the filler gets neither.
     assert planner.plan([filler, *gangs], {}) == []
     reserved = planner.reservation.reserved
     assert reserved.keys() == {gang.id for gang in gangs}
