--- a/src/sandladder/scheduling/bin_packing.py
+++ b/src/sandladder/scheduling/bin_packing.py
@@ -110,7 +110,7 @@
     spec: JobSpec,
     count: int,
     bins: list[Bin],
-    can_wait_for_boot: bool = False,
+    spot_only: bool = False,
     zones: ZoneQuota | None = None,
     keep_gpus: bool = False,
 ) -> int:
@@ -120,7 +120,7 @@
         spec: the job.
         count: the most tasks to pack.
         bins: the machines, filled in this order.
-        can_wait_for_boot: whether only spot machines are used.
+        spot_only: whether only spot machines are used.
         zones: the number of tasks that each zone may take, or None for any number.  Free capacity
             in a zone that may take no more must not count as usable.
         keep_gpus: whether the cores and memory that belong to free GPUs stay unused.
@@ -138,7 +138,7 @@
         offer = candidate.offer
         is_allowed = offers_allowed.get(offer)
         if is_allowed is None:
-            is_allowed = machine_allowed(spec, offer) and (offer.spot or not can_wait_for_boot)
+            is_allowed = machine_allowed(spec, offer) and (offer.spot or not spot_only)
             offers_allowed[offer] = is_allowed
         if is_allowed:
             limit = remaining if zones is None else min(remaining, zones.left(offer.zone))
--- a/src/sandladder/scheduling/cluster_view.py
+++ b/src/sandladder/scheduling/cluster_view.py
@@ -68,7 +68,7 @@
         # The maximum ages of own and of other controllers' observations, and the interval of
         # inventories, in seconds.
         self.fresh_s = self.observations.fresh_s
-        self.late_s = self.observations.late_s
+        self.peer_fresh_s = self.observations.peer_fresh_s
         self.inventory_interval_s = self.observations.inventory_interval_s
         self._inventories: dict[str, MachineInventory] = {}  # by controller, the last recorded
         self._machine_versions: dict[str, int] = {}
--- a/src/sandladder/scheduling/machine_observations.py
+++ b/src/sandladder/scheduling/machine_observations.py
@@ -37,7 +37,7 @@
         # Two heartbeat intervals, with a quarter of an interval of delay for each.
         self.fresh_s = 2.5 * workers.report_s
         self.inventory_interval_s = inventory_interval_s(settings)
-        self.late_s = self.fresh_s + self.inventory_interval_s
+        self.peer_fresh_s = self.fresh_s + self.inventory_interval_s
         self._forget_after_s = 4 * workers.lease_s
         self._latest: dict[str, MachineObservation] = {}
 
@@ -92,7 +92,7 @@
     def stale_at(self, observation: MachineObservation) -> float:
         """Return when an observation becomes stale; other controllers' ones arrive with delay."""
         is_own = observation.reporting_controller == self._node
-        return observation.at + (self.fresh_s if is_own else self.late_s)
+        return observation.at + (self.fresh_s if is_own else self.peer_fresh_s)
 
     def leaving_machines(self) -> list[str]:
         """Return the observed machines that are about to leave."""
--- a/src/sandladder/scheduling/preemption.py
+++ b/src/sandladder/scheduling/preemption.py
@@ -156,7 +156,7 @@
         """Return why a replica is to be evicted from a machine now, or None if it is not."""
         cluster_view = self._cluster_view
         observation = cluster_view.observation(machine)
-        if observation is None or cluster_view.age_s(observation) > cluster_view.late_s:
+        if observation is None or cluster_view.age_s(observation) > cluster_view.peer_fresh_s:
             # A silent machine cannot receive a stop and is returned with everything on it, so
             # stops would only cost writes to the store.
             return None
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -22,7 +22,7 @@
     evictions = PreemptionPolicy(cluster_view, planner.selector).graceful_evictions([service])
     assert [eviction.machine for eviction in evictions] == ["vm-1"]
     assert [eviction.reason for eviction in evictions] == [MachineDeparture.DRAINING]
-    cluster_view.now = cluster_view.late_s + 1.0
+    cluster_view.now = cluster_view.peer_fresh_s + 1.0
     cluster_view.record_peer_status(
         "node-0", "vm-2", MachineStatus("large", "south", False, 1, 0.0)
     )
