--- a/src/sandladder/controller/statistics.py
+++ b/src/sandladder/controller/statistics.py
@@ -30,7 +30,7 @@
         log.info(
             "gate: %d premises checked (a full scan: %d), verdicts %s; "
             "%d transactions committed (%s), %d rejected (%s), %d changes waiting",
-            gate.checked,
+            gate.premise_checks,
             gate.full_scan_checks,
             dict(gate.verdicts),
             committer.committed,
--- a/src/sandladder/scheduling/gate.py
+++ b/src/sandladder/scheduling/gate.py
@@ -68,7 +68,7 @@
         self.pending: dict[tuple[str, int], PendingStart] = {}
         self._index = ReverseIndex()
         self.verdicts: Counter[str] = Counter()  # by outcome
-        self.checked = 0  # premises checked
+        self.premise_checks = 0
         self.full_scan_checks = 0  # premises that would have been checked without the index
         # Called with the machine whenever its pending starts change.
         self.on_pending_changed: Callable[[str], object] = lambda machine: None
@@ -138,7 +138,7 @@
         for premise in pending_start.premises:
             if premise.resource not in resources:
                 continue
-            self.checked += 1
+            self.premise_checks += 1
             try:
                 is_valid = holds(premise, pending_start, evidence)
                 outcome = Outcome.KEEP if is_valid else premise.severity
--- a/tests/test_premises.py
+++ b/tests/test_premises.py
@@ -12,13 +12,13 @@
     pending_starts = planner.plan([job], {})
     assert len(pending_starts) == 3
     gate = cluster_view.gate
-    checked_before = gate.checked
+    checked_before = gate.premise_checks
     assert gate.revalidate([("machine", "vm-9"), ("team", "blue")], cluster_view) == []
-    assert gate.checked == checked_before
+    assert gate.premise_checks == checked_before
     verdicts = gate.revalidate([("team", "red")], cluster_view)
     assert [verdict.outcome for verdict in verdicts] == [Outcome.KEEP] * 3
     assert [verdict.failed_premise for verdict in verdicts] == [None] * 3
-    assert gate.checked == checked_before + 3 < gate.full_scan_checks
+    assert gate.premise_checks == checked_before + 3 < gate.full_scan_checks
     # Another controller started task 0, and its machine went silent: block outweighs replan.
     commit_placements(cache, job, [Placement(0, "vm-2", "south", 1)])
     cluster_view.now = 100.0
