--- a/src/sandladder/jobs/end_queue.py
+++ b/src/sandladder/jobs/end_queue.py
@@ -76,5 +76,5 @@
         usage = self._cache.usage.get(job.spec.team, TeamUsage())
         if nearly_exhausted(limits, usage, _NEAR_LIMIT):
             return True  # some job of the team may wait for this
-        record_full = len(job.live) >= self._planner.most_live(job.spec)
+        record_full = len(job.live) >= self._planner.max_live_tasks(job.spec)
         return job.waiting > 0 and (record_full or not headroom(limits, usage).covers(job.spec))
--- a/src/sandladder/scheduling/planner.py
+++ b/src/sandladder/scheduling/planner.py
@@ -42,7 +42,7 @@
         """The time, in seconds, after which a plan may differ though nothing else changed."""
         return self.selector.next_change_s
 
-    def most_live(self, spec: JobSpec) -> int:
+    def max_live_tasks(self, spec: JobSpec) -> int:
         """Return how many tasks of a job may be live so that its record fits the store."""
         return min(spec.tasks, self.store_limits.most_live_tasks(len(msgspec.json.encode(spec))))
 
@@ -186,7 +186,7 @@
             if max_tasks < job.waiting:
                 return 0
         else:
-            max_tasks = min(max_tasks, self.most_live(spec) - len(job.live) - pending_count)
+            max_tasks = min(max_tasks, self.max_live_tasks(spec) - len(job.live) - pending_count)
         count = min(max_tasks, job.waiting - pending_count)
         if count > 1 and cluster_view.gpu_protection.is_starved_of_gpu_machines(job):
             return 1  # one task at a time may use the share of free GPUs
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -143,7 +143,7 @@
     cache.schema_version = schema_version
     limits = planner.store_limits
     found = Job(spec(entries=100_000), 1e9)
-    most = planner.most_live(found.spec)
+    most = planner.max_live_tasks(found.spec)
     # As many as before on the smallest store, and more than before on larger ones.
     assert most >= (
         250 if schema_version == SCHEMA_V2 else {2.0: 40, 8.0: 170, 16.0: 350}[value_kb]
