--- a/src/sandladder/scheduling/cluster_view.py
+++ b/src/sandladder/scheduling/cluster_view.py
@@ -124,9 +124,9 @@
             for machine, status in inventory.machines.items():
                 self._record(machine, MachineObservation(status, node, observed_at - status.age_s))
 
-    def record_peer_status(self, node: str, machine: str, seen: MachineStatus) -> None:
+    def record_peer_status(self, node: str, machine: str, status: MachineStatus) -> None:
         """Record a machine's status from another controller's message."""
-        self._record(machine, MachineObservation(seen, node, self.now - seen.age_s))
+        self._record(machine, MachineObservation(status, node, self.now - status.age_s))
 
     def _record(self, machine: str, new: MachineObservation) -> None:
         recorded = self.observations.record(machine, new)
--- a/src/sandladder/scheduling/free_capacity.py
+++ b/src/sandladder/scheduling/free_capacity.py
@@ -58,7 +58,10 @@
 
 
 class PlacementRequirements(NamedTuple):
-    """The requirements that determine which machines can take a task."""
+    """The requirements that determine which machines can take a task.
+
+    Tasks with equal requirements fit the same machines.
+    """
 
     cpus: float
     gpus: float
--- a/src/sandladder/scheduling/gate.py
+++ b/src/sandladder/scheduling/gate.py
@@ -84,7 +84,7 @@
         self.on_pending_changed(pending_start.placement.machine)
 
     def withdraw(self, pending_start: PendingStart) -> None:
-        """Remove a pending start if it is present."""
+        """Remove a pending start unless it was removed before."""
         if self.pending.pop(pending_start.key, None) is not None:
             self._index.remove(pending_start)
             self.on_pending_changed(pending_start.placement.machine)
@@ -112,9 +112,10 @@
         return verdicts
 
     def release(self, pending_start: PendingStart, evidence: Evidence) -> Verdict:
-        """Check the premises whose resources changed since they were read, before the commit.
+        """Revalidate a pending start right before its commit.
 
-        A replanned or blocked start is withdrawn.
+        Only premises whose resources changed since they were read are checked.  A replanned or
+        blocked start is withdrawn.
         """
         differing = {
             resource
--- a/src/sandladder/scheduling/planner.py
+++ b/src/sandladder/scheduling/planner.py
@@ -253,10 +253,10 @@
 
 
 def _placement_order(jobs: list[Job], cluster_view: ClusterView) -> Iterator[tuple[Job, bool]]:
-    """Yield the jobs in placement order, each with whether only machines with its image count.
+    """Yield the jobs in placement order, each with whether it needs machines that have its image.
 
-    Jobs of one priority are first placed where their images are cached, which avoids fetches that
-    would take as long as short tasks.
+    Jobs of equal priority are placed first on machines that have their images, and then on any
+    machine, to avoid image fetches for short tasks.
     """
     for _, group in groupby(jobs, lambda job: cluster_view.scheduling_priority(job).priority):
         equal_priority = list(group)
--- a/src/sandladder/scheduling/preemption.py
+++ b/src/sandladder/scheduling/preemption.py
@@ -12,7 +12,7 @@
 from sandladder.scheduling.machine_observations import MachineDeparture
 from sandladder.scheduling.machine_selection import MachineSelector
 from sandladder.scheduling.victim_selection import (
-    GRACE_SAVE_TIMES,
+    GRACE_SAVE_TIME_FACTOR,
     PreemptionVictim,
     VictimSelector,
 )
@@ -146,7 +146,7 @@
                 capacities[target.id] = target.minus(job.spec)
                 until = cluster_view.now + _CLAIM_HEARTBEAT_INTERVALS * self._report_s
                 self._claims[job.id, task] = until
-                grace_s = GRACE_SAVE_TIMES * job.spec.save_s
+                grace_s = GRACE_SAVE_TIME_FACTOR * job.spec.save_s
                 evictions.append(PreemptionVictim(job.id, task, machine, grace_s, reason))
         return evictions
 
--- a/src/sandladder/scheduling/reservation.py
+++ b/src/sandladder/scheduling/reservation.py
@@ -165,7 +165,7 @@
 def _first_sufficient_slots(
     spec: JobSpec, slots: list[_MachineSlots], tasks_needed: int, zone: str | None
 ) -> list[_MachineSlots] | None:
-    """Return the first slots that together take `need` tasks, or None if they do not suffice.
+    """Return the first slots that together take `tasks_needed` tasks, or None if all do not.
 
     Only slots in `zone` count, unless it is None.
     """
--- a/src/sandladder/scheduling/victim_selection.py
+++ b/src/sandladder/scheduling/victim_selection.py
@@ -12,7 +12,7 @@
 from sandladder.scheduling.machine_selection import MachineSelector
 
 # The grace period of a stopped task, as a multiple of the time that it takes to save its state.
-GRACE_SAVE_TIMES = 1.5
+GRACE_SAVE_TIME_FACTOR = 1.5
 # The share of a task's run that is lost if it writes a checkpoint before it is stopped.
 _CHECKPOINTED_LOSS = 0.2
 
@@ -119,7 +119,7 @@
             writes_checkpoint = victim_spec.checkpoint_s > 0 and 2 * victim_spec.save_s < within_s
             loss = _CHECKPOINTED_LOSS if writes_checkpoint else 1.0
             cost += (victim_spec.estimate_s * victim_spec.cpus / spec.cpus) * loss
-            grace_s = GRACE_SAVE_TIMES * victim_spec.save_s if writes_checkpoint else 0.0
+            grace_s = GRACE_SAVE_TIME_FACTOR * victim_spec.save_s if writes_checkpoint else 0.0
             victims.append(
                 PreemptionVictim(item.job.id, item.task, capacity.id, grace_s, waiting_task)
             )
