--- a/src/sandladder/scheduling/cluster_view.py
+++ b/src/sandladder/scheduling/cluster_view.py
@@ -101,8 +101,8 @@
         return self.time.wall_offset_s
 
     @wall_offset_s.setter
-    def wall_offset_s(self, ahead: float) -> None:
-        self.time.wall_offset_s = ahead
+    def wall_offset_s(self, offset_s: float) -> None:
+        self.time.wall_offset_s = offset_s
 
     @property
     def wall_time(self) -> float:
--- a/src/sandladder/scheduling/machine_observations.py
+++ b/src/sandladder/scheduling/machine_observations.py
@@ -20,7 +20,7 @@
 
 
 class MachineDeparture(enum.StrEnum):
-    """Why a machine is about to leave."""
+    """The reason why a machine is about to leave."""
 
     DRAINING = "a draining machine"  # the autoscaler scales it in
     NOTICE = "a preemption notice"  # the cloud reclaims it
