--- a/src/sandladder/scheduling/preemption.py
+++ b/src/sandladder/scheduling/preemption.py
@@ -161,7 +161,7 @@
             # stops would only cost writes to the store.
             return None
         reason = cluster_view.observations.departure(machine)
-        # Draining is not urgent: replicas are evicted one at a time.
+        # Draining is not urgent: at most one replica is evicted in each round.
         if reason is MachineDeparture.DRAINING and any(
             eviction.reason is reason for eviction in evictions
         ):
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -144,7 +144,7 @@
 
 @pytest.mark.skipif(production.missing() is not None, reason=str(production.missing()))
 def test_versions_with_different_admission_rules_agree_on_accepted_jobs() -> None:
-    """The version in production rejects such jobs but must know those that a new one accepted."""
+    """The version in production rejects jobs of a team with a GPU limit only, a new one does not."""
     cluster = SimulatedCluster(
         1090, old=True, limits=[{"name": "red", "gpus": 2.0, "gpus_max": 4.0}]
     )
--- a/tests/test_reservation.py
+++ b/tests/test_reservation.py
@@ -100,7 +100,7 @@
 
 
 def test_each_urgent_gang_reserves_machines_immediately() -> None:
-    """Without one, arrays take each freed GPU, and gangs that need whole machines starve."""
+    """Without reservations, arrays take each freed GPU, and gangs that need whole machines starve."""
     cluster_view, planner, cache, _ = scene()
     whole_machine: dict[str, Any] = {"vcpus": 4.0, "ram_gb": 1.0, "form": "group", "entries": 1}
     filler = accept(cache, number=1, entries=20, vcpus=1.0, ram_gb=1.0)
