--- a/src/sandladder/membership/__init__.py
+++ b/src/sandladder/membership/__init__.py
@@ -1,12 +1,13 @@
-"""Membership: which controllers take part, how healthy they are, and what each is responsible for.
+"""Membership of controllers: their leases, health, roster and responsibilities.
 
-It owns this controller's lease and fencing token (`controller_lease`, `inventory_writer`), the
-roster and its transitions (`roster`, `roster_transitions`), and the assessments of the other
-controllers (`phi_accrual`, `failure_detector`, `health`).  `policy` decides what to write,
-`service` commits it, and `worker_assignment` shares the agents out among the controllers.
+The package owns this controller's lease and fencing token (`controller_lease`,
+`inventory_writer`), the roster and its transitions (`roster`, `roster_transitions`), and the
+assessments of the other controllers (`phi_accrual`, `failure_detector`, `health`).  `policy`
+decides what to write, `service` commits it, and `worker_assignment` distributes the agents among
+the controllers.
 
-It never proves a loss or an end, starts no task, and sends nothing: whoever is suspected wrongly
-loses time, and no rule is broken.  See docs/membership.md.
+The package does not decide that a task or machine is lost, does not start tasks, and sends no
+messages.  A false suspicion causes a delay and violates no safety rule.  See docs/membership.md.
 """
 
 from sandladder.membership.changes import ChangeKind, MembershipChange
--- a/src/sandladder/membership/changes.py
+++ b/src/sandladder/membership/changes.py
@@ -1,4 +1,4 @@
-"""What the membership policy may decide, and the transition of the roster that each decision is."""
+"""The changes that the membership policy can decide on, and the roster transition of each."""
 
 import enum
 from collections.abc import Mapping
@@ -11,52 +11,52 @@
 
 
 class ChangeKind(enum.Enum):
-    """What is to be changed in the roster or in a team's record."""
+    """The kind of a change to the roster or to a team's record."""
 
     JOIN = "join"  # this process becomes a member
     LEAVE = "leave"  # this process shuts down
-    REFUTE = "refute"  # this process is suspected, and lives
-    SUSPECT = "suspect"  # another member
-    CLEAR = "clear"  # another member of the suspicion
-    EVICT = "evict"  # another member
-    CLAIM = "claim"  # a team that is this controller's by the records
-    RETURN = "return"  # a team to its home
+    REFUTE = "refute"  # this process is suspected but alive
+    SUSPECT = "suspect"  # another member becomes suspected
+    CLEAR = "clear"  # the suspicion of another member is withdrawn
+    EVICT = "evict"  # another member is evicted
+    CLAIM = "claim"  # this process takes a team that the records give to its controller
+    RETURN = "return"  # a team is reassigned to its home controller
 
 
 class MembershipChange(NamedTuple):
-    """Something to commit: what, about whom, and what that was decided on."""
+    """A change to commit, with the observation that it was decided on."""
 
     kind: ChangeKind
     subject: str = ""  # the member or the team; "": this process
-    observed: Member | TeamAssignment | None = None
+    observed: Member | TeamAssignment | None = None  # the subject's record at the decision
     evidence: str = ""
-    assignee: str = ""  # RETURN: the member that gets the team
+    assignee: str = ""  # RETURN: the member to which the team is assigned
 
 
 class ChangeContext(NamedTuple):
-    """Who makes a change, and when."""
+    """The process that makes a change, the time, and the relevant settings."""
 
     own: TeamAssignment  # this process
     homes: Mapping[str, str]  # by team, the controller that schedules it while all are healthy
-    wall: float  # the time of day, in seconds
+    wall_clock_s: float
     settling_time_s: float  # after a first eviction
 
 
-def transition_of(
+def build_transition(
     change: MembershipChange, records: RosterRecords, context: ChangeContext
 ) -> RosterTransition:
-    """The transition that a change is of these records.
+    """Return the roster transition that carries out a change on the given records.
 
     Raises:
-        PreconditionFailedError: what the change was decided on is no longer so.
+        PreconditionFailedError: the observation behind the change is out of date.
     """
     node, incarnation = context.own.node, context.own.incarnation
     subject = change.subject
     match change.kind:
         case ChangeKind.JOIN:
-            return transitions.join(records, node, incarnation, context.wall, context.homes)
+            return transitions.join(records, node, incarnation, context.wall_clock_s, context.homes)
         case ChangeKind.LEAVE:
-            return transitions.leave(records, node, incarnation, context.wall)
+            return transitions.leave(records, node, incarnation, context.wall_clock_s)
         case ChangeKind.REFUTE:
             return transitions.refute(records, node, incarnation)
         case ChangeKind.CLAIM:
@@ -67,17 +67,19 @@
             return transitions.reassign(records, subject, change.assignee, change.observed)
         case ChangeKind.SUSPECT | ChangeKind.CLEAR | ChangeKind.EVICT:
             assert isinstance(change.observed, Member)
-            return _transition_of_member(change, change.observed, records, context)
+            return _build_member_transition(change, change.observed, records, context)
 
 
-def _transition_of_member(
+def _build_member_transition(
     change: MembershipChange, observed: Member, records: RosterRecords, context: ChangeContext
 ) -> RosterTransition:
-    """The transition that a change of another member is."""
+    """Return the roster transition for a change of another member's state."""
     subject, evidence = change.subject, change.evidence
     if change.kind is ChangeKind.SUSPECT:
         return transitions.suspect(records, subject, observed, evidence)
     if change.kind is ChangeKind.CLEAR:
         return transitions.clear(records, subject, observed)
-    least_s = context.settling_time_s
-    return transitions.evict(records, subject, observed, evidence, context.wall, least_s)
+    base_settling_time_s = context.settling_time_s
+    return transitions.evict(
+        records, subject, observed, evidence, context.wall_clock_s, base_settling_time_s
+    )
--- a/src/sandladder/membership/controller_lease.py
+++ b/src/sandladder/membership/controller_lease.py
@@ -1,4 +1,4 @@
-"""This controller's own lease in the state service, and the fencing token that comes with it."""
+"""This controller's lease in the key-value store, and the fencing token acquired with it."""
 
 import logging
 from collections.abc import Callable
@@ -32,19 +32,19 @@
 
 log = logging.getLogger(__name__)
 
-# The lease is renewed so many times in its duration.
 _RENEWALS_PER_LEASE = 8
-# A lease counts for less than its duration, since clocks drift apart, and a little less again.
-_DRIFT_FACTOR = 0.998
-_MARGIN_S = 0.05
+# This process treats its lease as expired slightly before the store does: the factor covers clock
+# drift over the lease's duration, the margin covers delays in this process.
+_CLOCK_DRIFT_FACTOR = 0.998
+_EXPIRY_MARGIN_S = 0.05
 
 
 class ControllerLease:
-    """Acquires and renews this controller's lease, and says whether it surely lasts.
+    """Acquires and renews this controller's lease, and reports whether it is certainly valid.
 
-    While it does, and only then, this controller answers agents and acts.  The inventory, which is
-    the controller's presence, is attached to the lease; with each lease comes a fencing token that
-    no other process has.
+    The controller answers agents and acts only while its lease is valid.  The inventory, which
+    shows the other controllers that this one is alive, is attached to the lease.  Each lease comes
+    with a fencing token that no other process has.
     """
 
     def __init__(
@@ -64,22 +64,23 @@
         on_fencing_token: Callable[[int], None],
         on_acquired: Callable[[int], None],
     ) -> None:
-        """Set the lease up; `run` acquires it.
+        """Create the object without acquiring a lease; `run` acquires it.
 
         Args:
             node: the controller's name.
             process: distinguishes the controller's processes.
             ttl_s: the lease's duration, in seconds.
-            report_s: between two heartbeats of an agent, in seconds.
-            inventory_interval_s: between two inventories, in seconds.
-            cache: the records as this process knows them.
-            store: the state service.
-            watch: brings the cache up to date.
+            report_s: the interval between two heartbeats of an agent, in seconds.
+            inventory_interval_s: the interval between two inventories, in seconds.
+            cache: this process's cache of the records.
+            store: the key-value store.
+            watch: keeps the cache up to date.
             committer: commits changes.
             inventory: writes the inventory.
-            fencing_token: the present one, 0 before the first.
-            on_fencing_token: called with each token that was acquired.
-            on_acquired: called with the token when the lease and the presence under it are there.
+            fencing_token: returns the current fencing token, 0 before the first.
+            on_fencing_token: called with each acquired token.
+            on_acquired: called with the token once the lease is held and the inventory is stored
+                under it.
         """
         self._node = node
         self._process = process
@@ -94,74 +95,75 @@
         self._fencing_token = fencing_token
         self._on_fencing_token = on_fencing_token
         self._on_acquired = on_acquired
-        # Another process has acquired a lease under this name since: this one is fenced.
+        # Another process has acquired a lease under this name later, so this one is fenced.
         self.superseded = False
         self._renewal: LeaseRenewal | None = None
-        self._present = False  # the inventory is in the store under the present lease
-        self._was_present = False  # the inventory under this name was this process's
+        self._inventory_stored = False  # the inventory is in the store under the current lease
+        self._owned_inventory = False  # the last known inventory of this name was this process's
         self._token_lock = anyio.Lock()
-        self._due = Signal()
+        self._wakeup = Signal()
 
     def alive(self) -> bool:
-        """Whether the lease surely lasts."""
+        """Return whether the lease is certainly valid now."""
         renewal = self._renewal
         if self.superseded:
             return False
-        return self._present and renewal is not None and clock.now() < renewal.until
+        return self._inventory_stored and renewal is not None and clock.now() < renewal.until
 
     def observe(self) -> None:
-        """The records changed: see whose inventory is stored under this controller's name.
+        """Check, after the records changed, which process owns this controller's inventory.
 
-        The platform runs one process of each controller.  Should there be two all the same, the one
-        that acquired its lease last stays, and the other is fenced until that one's lease ends.
+        The platform runs one process of each controller.  If there are two regardless, the one
+        that acquired its lease later continues, and the other is fenced until that lease ends.
         """
         inventory = self._cache.inventories.get(self._node)
         if inventory is not None and inventory.process == self._process:
-            self._was_present = True
-        elif inventory is not None and self._was_present:
-            log.error("another process runs as controller %s: this one is fenced", self._node)
+            self._owned_inventory = True
+        elif inventory is not None and self._owned_inventory:
+            log.error("another process runs as controller %s; this process is fenced", self._node)
             self.superseded = True
-            self._was_present = False
-            self._forget()
+            self._owned_inventory = False
+            self._drop_lease()
         elif inventory is None and self.superseded:
-            log.warning("the other process that ran as controller %s is gone", self._node)
+            log.warning("lease of the other process of controller %s has ended", self._node)
             self.superseded = False
-            self._due.set()
+            self._wakeup.set()
 
     async def run(self) -> None:
-        """Acquire the lease and renew it until cancelled; it expires by itself then."""
+        """Acquire the lease and renew it until cancelled; afterwards it expires."""
         renewal_interval_s = self._ttl_s / _RENEWALS_PER_LEASE
         while True:
             if self.superseded:
-                await self._due.wait(renewal_interval_s)
+                await self._wakeup.wait(renewal_interval_s)
                 continue
             try:
-                if self._renewal is None or not self._present:
+                if self._renewal is None or not self._inventory_stored:
                     await self._acquire()
                 else:
                     await self._renew(self._renewal.lease)
             except LeaseExpiredError:
-                log.warning("the lease of controller %s has expired", self._node)
-                self._forget()
+                log.warning("lease of controller %s has expired", self._node)
+                self._drop_lease()
                 continue
             except (
                 StoreRequestError,
                 PreconditionFailedError,
                 MalformedMessageError,
             ) as error:
-                log.debug("the lease of controller %s cannot be renewed: %s", self._node, error)
+                log.debug("failed to renew the lease of controller %s: %s", self._node, error)
                 await anyio.sleep(self._report_s / 10)
                 continue
-            await self._due.wait(renewal_interval_s)
+            await self._wakeup.wait(renewal_interval_s)
 
     async def acquire_token_above(self, token: int) -> bool:
-        """Acquire a fencing token above one that an agent has seen: the agent has come here.
+        """Acquire a fencing token that is at least `token`, unless this controller has one.
 
-        Waits for the state service, at most an agent's heartbeat interval.  Cancelled, a token may
-        be acquired all the same, and is then never used.
+        An agent rejects commands with a lower token than the highest that it has seen.  Waits for
+        the store for at most an agent's heartbeat interval.  If cancelled, a token may still be
+        acquired; it is then never used.
 
         Returns:
-            False if that failed.
+            Whether the controller has such a token.
         """
         async with self._token_lock:
             if self._fencing_token() >= token:
@@ -177,7 +179,7 @@
             return True
 
     async def publish_inventory(self) -> None:
-        """Write the inventory every few seconds until cancelled."""
+        """Write the inventory at its interval until cancelled."""
         while True:
             await anyio.sleep(self._inventory_interval_s)
             if not self.alive() or self._renewal is None:
@@ -186,33 +188,33 @@
             try:
                 await self._write_inventory(self._renewal.lease)
             except LeaseExpiredError:
-                self._forget()
-                self._due.set()
+                self._drop_lease()
+                self._wakeup.set()
             except PreconditionFailedError as refusal:
-                log.error("the inventory of controller %s was refused: %s", self._node, refusal)
+                log.error("writing the inventory of %s was refused: %s", self._node, refusal)
 
-    def _forget(self) -> None:
-        """The lease has ended, as far as this process is concerned."""
+    def _drop_lease(self) -> None:
+        """Stop using the lease, because it has expired or this process is fenced."""
         self._renewal = None
-        self._present = False
+        self._inventory_stored = False
 
     def _expires_at(self, sent: float) -> float:
-        """Until when a lease surely lasts that was granted or renewed by a request sent then."""
-        return sent + self._ttl_s * _DRIFT_FACTOR - _MARGIN_S
+        """Return until when a lease is certainly valid if its request was sent at `sent`."""
+        return sent + self._ttl_s * _CLOCK_DRIFT_FACTOR - _EXPIRY_MARGIN_S
 
     async def _acquire(self) -> None:
-        """Acquire a lease, a fencing token, and the presence that the other controllers see."""
+        """Acquire a lease and a fencing token, and store the inventory under the lease."""
         renewal = self._renewal
         if renewal is None or clock.now() >= renewal.until:
             sent = clock.now()
             lease = await self._store.grant_lease(self._ttl_s)
             renewal = LeaseRenewal(lease, self._expires_at(sent))
-        # While the records are read the lease may expire, and only a renewal would show it.
+        # If the lease expires while the records are read, the commit raises LeaseExpiredError.
         await self._watch.barrier()
         await self._acquire_fencing_token(renewal.lease)
         if self.superseded:
             return
-        self._renewal, self._present = renewal, True
+        self._renewal, self._inventory_stored = renewal, True
         fencing_token = self._fencing_token()
         self._on_acquired(fencing_token)
         log.info("controller %s acquired its lease, fencing token %d", self._node, fencing_token)
@@ -220,13 +222,14 @@
     async def _renew(self, lease: int) -> None:
         sent = clock.now()
         await self._store.renew(lease)
-        if self._renewal is not None:  # else this process was fenced meanwhile
+        if self._renewal is not None:  # None if this process was fenced in the meantime
             self._renewal = LeaseRenewal(lease, self._expires_at(sent))
 
     async def _acquire_fencing_token(self, lease: int, above: int = 0) -> None:
-        """Increase the one counter of fencing tokens; the number is this process's alone.
+        """Increment the shared counter of fencing tokens and adopt the new value.
 
-        The inventory goes along, so the token is never seen without its holder's presence.
+        The inventory is written in the same transaction, so that nobody sees the token without
+        its holder's inventory.
         """
         acquired = 0
         await self._inventory.write_ahead(lease)
@@ -234,11 +237,11 @@
         def apply(transaction: Transaction) -> bool:
             nonlocal acquired
             if self.superseded:
-                raise PreconditionFailedError("another process runs under our name")
+                raise PreconditionFailedError("another process runs under this controller's name")
             acquired = max(self._cache.fencing_token, above) + 1
             transaction.put(FENCING_TOKEN_KEY, acquired, self._cache.version(FENCING_TOKEN_KEY))
             if is_store_empty(self._cache):
-                # No former version ever wrote here: the records begin in the newest schema.
+                # No earlier version has written to this store, so it starts with the newest schema.
                 transaction.put(SCHEMA_VERSION_KEY, schema_version_value(SCHEMA_V2), 0)
                 transaction.expected_versions[MACHINE_TYPES_KEY] = 0
             self._inventory.put(transaction, acquired, lease)
@@ -256,6 +259,7 @@
             return True
 
         await self._inventory.write_ahead(lease)
-        # The other controllers start tasks on our machines by the inventory: it must not starve.
+        # Without a priority the inventory could starve; the other controllers rely on it to start
+        # tasks on the machines that report here.
         change = PendingChange("inventory", PRIORITY_REQUEST, 1, apply, leased=True)
         await self._committer.add(change).wait()
--- a/src/sandladder/membership/inventory_writer.py
+++ b/src/sandladder/membership/inventory_writer.py
@@ -1,7 +1,7 @@
-"""How a controller writes its machine inventory under its own lease.
+"""The writer of a controller's machine inventory.
 
-The inventory tells the other controllers which agents report here, and is this controller's
-presence: it is attached to the lease and disappears with it.
+The inventory tells the other controllers which agents report to this one.  It is attached to the
+controller's lease, so its existence shows that the lease is valid.
 """
 
 from collections.abc import Callable
@@ -20,19 +20,19 @@
     stamp_parts,
 )
 
-# A stamp marks the parts of one writing: the fencing token, then this many bits of a counter.
+# A stamp identifies the parts of one write: the fencing token, followed by a counter of this width.
 _STAMP_COUNTER_BITS = 20
 
 
 class AgentInventory(NamedTuple):
-    """What a controller knows of the agents that report to it."""
+    """The machines of the agents that report to a controller."""
 
-    up_s: float  # since when this process could have answered an agent, in seconds
+    up_s: float  # for how long this process has been able to answer agents, in seconds
     machines: dict[str, MachineStatus]
 
 
 class InventoryWriter:
-    """Writes the inventory, in several steps if no transaction takes it as a whole."""
+    """Writes the inventory, in several transactions if it is too large for one."""
 
     def __init__(
         self,
@@ -44,16 +44,16 @@
         fencing_token: Callable[[], int],
         agents: Callable[[], AgentInventory],
     ) -> None:
-        """Write for one process of a controller.
+        """Create a writer for one process of a controller.
 
         Args:
             node: the controller's name.
             process: distinguishes the controller's processes.
-            cache: the records as this process knows them.
-            committer: commits the parts that go ahead.
-            limits: of the state service's transactions and values.
-            fencing_token: this controller's present one.
-            agents: those that report here now.
+            cache: this process's cache of the records.
+            committer: commits the parts that are written ahead.
+            limits: the store's limits on transactions and values.
+            fencing_token: returns this controller's current fencing token.
+            agents: returns the agents that report here now.
         """
         self._node = node
         self._process = process
@@ -63,14 +63,14 @@
         self._fencing_token = fencing_token
         self._agents = agents
         self._stamps = 0
-        # The last part of an inventory whose other parts are written already; else empty.
+        # The last part of an inventory whose other parts have been written; empty otherwise.
         self._last_part: list[tuple[str, Any]] = []
 
     async def write_ahead(self, lease: int) -> None:
-        """Write all parts but the last of an inventory that no transaction takes as a whole.
+        """Write all parts but the last of an inventory that is too large for one transaction.
 
-        Waits until they are committed.  The inventory counts once `put` has written its last part;
-        if that never happens, cancellation included, the former inventory counts.
+        Waits until they are committed.  The new inventory takes effect when `put` writes its last
+        part; until then, or after a cancellation, the previous inventory stays in effect.
 
         Raises:
             LeaseExpiredError: the lease has expired.
@@ -87,7 +87,7 @@
         self._last_part = [last]
 
     def put(self, transaction: Transaction, fencing_token: int, lease: int) -> None:
-        """Put the inventory into a transaction, or what `write_ahead` has left of it."""
+        """Add the inventory, or the part that `write_ahead` left, to a transaction."""
         changes = self._last_part or self._changes(transaction, fencing_token)
         put_inventory(transaction, self._node, changes, lease, self._limits.txn_ops)
 
@@ -104,7 +104,7 @@
         await self._committer.add(change).wait()
 
     def _changes(self, transaction: Transaction, fencing_token: int) -> list[tuple[str, Any]]:
-        """The inventory's values under their keys."""
+        """Return the inventory as keys and values."""
         agents = self._agents()
         inventory = MachineInventory(
             fencing_token,
--- a/src/sandladder/membership/member_health.py
+++ b/src/sandladder/membership/member_health.py
@@ -1,9 +1,9 @@
-"""The members' health over time: the latest assessments, and how long all have been healthy."""
+"""The latest assessments of the members, and for how long all of them have been healthy."""
 
 import logging
 import math
 
-from sandladder.membership.failure_detector import NO_LEASE, FailureDetector
+from sandladder.membership.failure_detector import NO_LEASE_EVIDENCE, FailureDetector
 from sandladder.membership.health import HealthAssessment, HealthLevel
 from sandladder.model import IN, SUSPECT
 from sandladder.state import StateCache
@@ -12,27 +12,28 @@
 
 
 class MemberHealth:
-    """What this process makes of the other controllers, by its failure detector and the roster.
+    """Tracks the other controllers' health, from the failure detector and the roster.
 
-    Pure but for the log: times are given, in seconds on the steady clock.
+    Pure except for logging: times are passed in, in seconds on the monotonic clock.
     """
 
     def __init__(self, detector: FailureDetector, cache: StateCache) -> None:
-        """Judge by `detector`; `cache` has the roster and the leases."""
+        """Assess members with `detector`; `cache` holds the roster and the inventories."""
         self.assessments: dict[str, HealthAssessment] = {}  # of all peers, by name
         self._detector = detector
         self._cache = cache
-        self._unhealthy_at = math.inf  # when some member was last not healthy; inf: never judged
+        # When a member was last observed to be unhealthy; inf before the first assessment.
+        self._unhealthy_at = math.inf
 
     def update(self, now: float) -> None:
-        """Judge the others; a change of level is one line in the log, with the evidence."""
+        """Assess the other controllers, and log each change of level with its evidence."""
         self._detector.record_leases(self._cache.inventories.keys() | self._cache.unreadable_nodes)
         for node in self._detector.peers():
             assessment = self._detector.assess(node, now)
-            before = self.assessments.get(node)
+            previous = self.assessments.get(node)
             self.assessments[node] = assessment
-            if before is None or before.level != assessment.level:
-                _log_assessment(node, before, assessment)
+            if previous is None or previous.level != assessment.level:
+                _log_assessment(node, previous, assessment)
         unhealthy = self._detector.is_late or any(
             member.state == SUSPECT or (member.state == IN and self._is_failing_peer(node))
             for node, member in self._cache.roster.items()
@@ -41,22 +42,21 @@
             self._unhealthy_at = now
 
     def all_healthy_s(self, now: float) -> float:
-        """For how long all members, this process among them, have been healthy."""
+        """Return for how long all members, including this one, have been healthy."""
         return now - self._unhealthy_at
 
-    def of_member(self, node: str) -> HealthAssessment | None:
-        """The health of another member; None if nothing may be concluded.
+    def member_assessment(self, node: str) -> HealthAssessment | None:
+        """Return the health of another member, or None if it is unknown.
 
-        For one that the settings of this process do not name, its lease alone says whether it
-        lives.
+        A member that is missing from this process's settings is assessed by its lease alone.
         """
-        known = self.assessments.get(node)
-        if known is not None or node in self._cache.inventories:
-            return known
-        return HealthAssessment(HealthLevel.EXPIRED, NO_LEASE)
+        assessment = self.assessments.get(node)
+        if assessment is not None or node in self._cache.inventories:
+            return assessment
+        return HealthAssessment(HealthLevel.EXPIRED, NO_LEASE_EVIDENCE)
 
     def serving_members(self) -> list[str]:
-        """The members that are in and can do their part, this process among them if it is in."""
+        """Return the members in state IN that can be given work, including this one."""
         return [
             node
             for node, member in self._cache.roster.items()
@@ -73,8 +73,10 @@
 
 
 def _log_assessment(
-    node: str, before: HealthAssessment | None, assessment: HealthAssessment
+    node: str, previous: HealthAssessment | None, assessment: HealthAssessment
 ) -> None:
     evidence = f": {assessment.evidence}" if assessment.evidence else ""
-    former = f", was {before.level.name.lower()}" if before is not None else ""
-    log.info("controller %s is %s%s%s", node, assessment.level.name.lower(), former, evidence)
+    previous_level = f", was {previous.level.name.lower()}" if previous is not None else ""
+    log.info(
+        "controller %s is %s%s%s", node, assessment.level.name.lower(), previous_level, evidence
+    )
--- a/src/sandladder/membership/policy.py
+++ b/src/sandladder/membership/policy.py
@@ -1,10 +1,11 @@
-"""The membership policy: what one controller writes into the roster about the others, and when.
+"""The membership policy: decides on the changes that one controller makes to the roster.
 
-Preparation follows suspicion; what can be taken back follows two witnesses and a moment for the
-suspect to refute in the state service; and only the end of a lease is a verdict.
+A member is suspected on the evidence of at least two witnesses, and evicted if it does not refute
+the suspicion in time.  A member whose lease has expired is evicted without prior suspicion.  An
+evicted member can join again, so that a false suspicion only causes a delay.
 
-Pure: `MembershipService` gives the times and commits what is decided here.  Times are in seconds on
-the steady clock, except the time of day, which is called `wall`.
+Pure: `MembershipService` passes the times in and commits the decisions.  Times are in seconds on
+the monotonic clock, except `wall_clock_s`.
 """
 
 from collections.abc import Iterable
@@ -14,7 +15,7 @@
     ChangeContext,
     ChangeKind,
     MembershipChange,
-    transition_of,
+    build_transition,
 )
 from sandladder.membership.failure_detector import FailureDetector
 from sandladder.membership.health import HealthAssessment, HealthLevel
@@ -29,61 +30,61 @@
 from sandladder.model import IN, OUT, SCHEMA_V1, SUSPECT, Member, TeamAssignment
 from sandladder.state import ROSTER_KEY, StateCache
 
-# In intervals between an agent's heartbeats (`report_s`):
-# A silence that may be a moment's slowness is tolerated for so long; one of a controller that
-# refused the connection to all who tried is not.
-_TOLERATED_SILENCE = 1.0
-# How long a controller must have been without the state service, by its own status.
-_TOLERATED_UNREADINESS = 0.5
-# How long a suspect has to refute in the state service.
-_REFUTATION_TIME = 0.25
-# How long all must have been healthy before one more team goes home.
-_STABLE_TIME = 1.0
-# How long a team without any record waits for its home to join.
-_HOME_JOIN_TIME = 0.5
-# How long a member must have been healthy before it gets its teams back, the first time.
-_SETTLING_TIME = 2.0
-
-# In heartbeat intervals of controllers: whoever is next in order waits so much longer than the one
-# before.
-_RANK_DELAY = 2.0
-# Independent witnesses that it takes to suspect a silent member.
+# Durations in agent heartbeat intervals (`report_s`).
+# Silence after which a member is suspected; it is suspected at once if it refused all connections.
+_SILENCE_TOLERANCE_INTERVALS = 1.0
+# Time without access to the store, by its own status, after which a member is suspected.
+_UNREADY_TOLERANCE_INTERVALS = 0.5
+# Time for a suspected member to refute the suspicion in the store.
+_REFUTATION_INTERVALS = 0.25
+# Time for which all members must have been healthy before a team returns to its home.
+_STABLE_INTERVALS = 1.0
+# Time for which a team without a record waits for its home to join.
+_HOME_JOIN_INTERVALS = 0.5
+# Time for which a member must have been in before its teams return, after a first eviction.
+_SETTLING_INTERVALS = 2.0
+
+# Extra delay per rank, in heartbeat intervals of controllers, so that usually only the first
+# healthy member commits a change.
+_RANK_DELAY_HEARTBEATS = 2.0
+# Independent witnesses required to suspect a silent member.
 _MIN_WITNESSES = 2
 
 
-class _PendingKey(NamedTuple):
-    """A condition on a member in one incarnation that must last before something follows."""
+class _ConditionKey(NamedTuple):
+    """A condition of a member in one incarnation that must persist before a change follows."""
 
     condition: str
     node: str
     incarnation: int
-    refuted: int
+    refutations: int
 
 
 class MembershipPolicy:
-    """Decides for one controller."""
+    """Decides on the membership changes of one controller."""
 
     def __init__(
         self, detector: FailureDetector, nodes: list[str], teams: Iterable[str], cache: StateCache
     ) -> None:
-        """Decide on the assessments of `detector` and on the records in `cache`.
+        """Create the policy of the controller to which `detector` belongs.
 
         Args:
-            detector: judges the other controllers.
+            detector: assesses the other controllers.
             nodes: all controllers of the settings, in order.
             teams: all teams of the settings, in order.
-            cache: the records as this process knows them.
+            cache: this process's cache of the records.
         """
         self.detector = detector
         self.node = detector.node
         self.homes = home_controllers(teams, nodes)
         self._cache = cache
         self._health = MemberHealth(detector, cache)
-        # Since when each condition has lasted.
-        self._pending_since: dict[_PendingKey, float] = {}
+        # The time since which each condition has held without interruption.
+        self._condition_since: dict[_ConditionKey, float] = {}
         self._assignments: dict[str, TeamAssignment] = {}
         self._reassigned_at = 0.0  # when an assignment last changed
-        self._able_since: float | None = None  # since when this process could have acted
+        # The time since which this process has been able to write the roster.
+        self._writable_since: float | None = None
 
     @property
     def assessments(self) -> dict[str, HealthAssessment]:
@@ -92,170 +93,178 @@
 
     @property
     def settling_time_s(self) -> float:
-        """How long a member must have been healthy, the first time, to get its teams back."""
-        return _SETTLING_TIME * self.detector.report_s
+        """How long a member must have been in before its teams return, after a first eviction."""
+        return _SETTLING_INTERVALS * self.detector.report_s
 
-    def decide(self, now: float, wall: float, own: TeamAssignment | None) -> list[MembershipChange]:
-        """Judge the others and return what to commit now, in order.
+    def decide(
+        self, now: float, wall_clock_s: float, own: TeamAssignment | None
+    ) -> list[MembershipChange]:
+        """Assess the other controllers and return the changes to commit now, in order.
 
         Args:
-            now: on the steady clock.
-            wall: the time of day.
-            own: this process if it may act: its lease lasts and it could write.
+            now: on the monotonic clock.
+            wall_clock_s: the time of day.
+            own: this process if its lease is valid and it can write to the store; else None.
         """
         self._health.update(now)
-        self._note_assignments(now)
-        if own is None or not self._roster_usable:
-            self._able_since = None
-            self._pending_since.clear()
+        self._record_assignments(now)
+        if own is None or not self._is_roster_writable:
+            self._writable_since = None
+            self._condition_since.clear()
             return []
-        if self._able_since is None:
-            self._able_since = now
-        me = self._cache.roster.get(self.node)
-        if me is None or me.state == OUT or me.incarnation < own.incarnation:
+        if self._writable_since is None:
+            self._writable_since = now
+        own_member = self._cache.roster.get(self.node)
+        if (
+            own_member is None
+            or own_member.state == OUT
+            or own_member.incarnation < own.incarnation
+        ):
             return [MembershipChange(ChangeKind.JOIN)]
-        if me.incarnation > own.incarnation:
-            return []  # a later process runs under this name
-        if me.state == SUSPECT:
+        if own_member.incarnation > own.incarnation:
+            return []  # a later process of this controller has joined
+        if own_member.state == SUSPECT:
             return [MembershipChange(ChangeKind.REFUTE)]
         return [
-            *self._claims(now, self._able_since, own),
-            *self._changes_of_others(now),
-            *self._returns(now, wall),
+            *self._team_claims(now, self._writable_since, own),
+            *self._member_changes(now),
+            *self._team_returns(now, wall_clock_s),
         ]
 
     def is_stable(self, now: float) -> bool:
-        """Whether all members, this one among them, have been healthy for a while."""
-        return self._health.all_healthy_s(now) >= _STABLE_TIME * self.detector.report_s
+        """Return whether all members, including this one, have been healthy long enough."""
+        return self._health.all_healthy_s(now) >= _STABLE_INTERVALS * self.detector.report_s
 
     def transition(
-        self, change: MembershipChange, cache: StateCache, own: TeamAssignment, wall: float
+        self, change: MembershipChange, cache: StateCache, own: TeamAssignment, wall_clock_s: float
     ) -> RosterTransition:
-        """The transition that a change is of the records as they are when it is tried.
+        """Return the roster transition that carries out a change on the current records.
 
         Args:
-            change: what was decided.
+            change: a change that `decide` returned.
             cache: the records.
             own: this process.
-            wall: the time of day.
+            wall_clock_s: the time of day.
 
         Raises:
-            PreconditionFailedError: what the change was decided on is no longer so.
+            PreconditionFailedError: the observation behind the change is out of date.
         """
-        context = ChangeContext(own, self.homes, wall, self.settling_time_s)
-        return transition_of(change, RosterRecords.of(cache), context)
+        context = ChangeContext(own, self.homes, wall_clock_s, self.settling_time_s)
+        return build_transition(change, RosterRecords.from_cache(cache), context)
 
     @property
-    def _roster_usable(self) -> bool:
-        """Whether there is a roster to write: the schema has one, and it can be read."""
+    def _is_roster_writable(self) -> bool:
+        """Whether the schema has a roster and this version can read it."""
         return self._cache.schema_version != SCHEMA_V1 and ROSTER_KEY not in self._cache.unreadable
 
-    def _note_assignments(self, now: float) -> None:
+    def _record_assignments(self, now: float) -> None:
         if self._cache.assignments != self._assignments:
             self._assignments = dict(self._cache.assignments)
             self._reassigned_at = now
 
-    # Teams that become this controller's
+    # Claims of teams
 
-    def _claims(self, now: float, able_since: float, own: TeamAssignment) -> list[MembershipChange]:
-        """Claims of the teams that are this controller's, and not yet assigned to its process."""
-        home_joining = now - able_since < _HOME_JOIN_TIME * self.detector.report_s
+    def _team_claims(
+        self, now: float, writable_since: float, own: TeamAssignment
+    ) -> list[MembershipChange]:
+        """Return claims of the teams that belong to this controller but not to its process yet."""
+        home_joining = now - writable_since < _HOME_JOIN_INTERVALS * self.detector.report_s
         changes = []
         for team, home in self.homes.items():
             assignment = self._cache.assignments.get(team)
             if assignment == own:
                 continue
-            if rightful_assignee(team, home, RosterRecords.of(self._cache)) != self.node:
+            if rightful_assignee(team, home, RosterRecords.from_cache(self._cache)) != self.node:
                 continue
             if assignment is None and home != self.node and home_joining:
                 continue
             changes.append(MembershipChange(ChangeKind.CLAIM, team))
         return changes
 
-    # Other members
+    # Changes of other members
 
-    def _changes_of_others(self, now: float) -> list[MembershipChange]:
-        """What the others' health asks for."""
+    def _member_changes(self, now: float) -> list[MembershipChange]:
+        """Return the changes of other members' states that follow from their health."""
         changes = []
-        lasting: set[_PendingKey] = set()
+        active: set[_ConditionKey] = set()
         for node, member in self._cache.roster.items():
             if node == self.node or member.state == OUT:
                 continue
-            assessment = self._health.of_member(node)
+            assessment = self._health.member_assessment(node)
             if assessment is None:
                 continue
-            kind = self._change_of(node, member, assessment, now, lasting)
+            kind = self._member_change(node, member, assessment, now, active)
             if kind is None:
                 continue
-            key = _PendingKey(kind.value, node, member.incarnation, member.refutations)
-            lasting.add(key)
-            if self._is_our_turn(now, key):
+            key = _ConditionKey(kind.value, node, member.incarnation, member.refutations)
+            active.add(key)
+            if self._has_rank_delay_elapsed(now, key):
                 changes.append(MembershipChange(kind, node, member, assessment.evidence))
-        self._pending_since = {
-            key: since for key, since in self._pending_since.items() if key in lasting
+        self._condition_since = {
+            key: since for key, since in self._condition_since.items() if key in active
         }
         return changes
 
-    def _change_of(
+    def _member_change(
         self,
         node: str,
         member: Member,
         assessment: HealthAssessment,
         now: float,
-        lasting: set[_PendingKey],
+        active: set[_ConditionKey],
     ) -> ChangeKind | None:
-        """What is to become of a member that is in or suspected, if anything.
+        """Return the kind of change due for a member that is in or suspected, or None.
 
-        The conditions that this rests on are added to `lasting`.
+        The conditions whose duration matters are added to `active`.
         """
         if assessment.level is HealthLevel.EXPIRED:
             return ChangeKind.EVICT
         if self.detector.is_late or not self.detector.is_warmed_up(now):
-            return None  # the fault may be this process's own
+            return None  # this process itself may be the cause of the silence
         if member.state == SUSPECT and assessment.can_serve:
             return ChangeKind.CLEAR
 
-        def lasted_s(condition: str) -> float:
-            key = _PendingKey(condition, node, member.incarnation, member.refutations)
-            lasting.add(key)
-            return now - self._pending_since.setdefault(key, now)
+        def condition_age_s(condition: str) -> float:
+            key = _ConditionKey(condition, node, member.incarnation, member.refutations)
+            active.add(key)
+            return now - self._condition_since.setdefault(key, now)
 
         report_s = self.detector.report_s
         if assessment.level is HealthLevel.UNREADY:
-            failed = lasted_s("unready") >= _TOLERATED_UNREADINESS * report_s
+            failed = condition_age_s("unready") >= _UNREADY_TOLERANCE_INTERVALS * report_s
         else:
             failed = self._has_failed(assessment)
         if member.state == IN:
             return ChangeKind.SUSPECT if failed else None
-        could_refute = (
+        refutation_time_over = (
             assessment.level is HealthLevel.LEAVING
-            or lasted_s("suspected") >= _REFUTATION_TIME * report_s
+            or condition_age_s("suspected") >= _REFUTATION_INTERVALS * report_s
         )
-        return ChangeKind.EVICT if failed and could_refute else None
+        return ChangeKind.EVICT if failed and refutation_time_over else None
 
     def _has_failed(self, assessment: HealthAssessment) -> bool:
-        """Whether a member is to be suspected at once: it leaves, or enough witnesses say so."""
+        """Return whether a member is leaving, or enough witnesses show that it has failed."""
         if assessment.level is not HealthLevel.SUSPECT:
             return assessment.level is HealthLevel.LEAVING
-        tolerated_s = _TOLERATED_SILENCE * self.detector.report_s
-        intolerable = assessment.all_refused or assessment.silent_s >= tolerated_s
-        return assessment.witnesses >= _MIN_WITNESSES and intolerable
+        tolerated_s = _SILENCE_TOLERANCE_INTERVALS * self.detector.report_s
+        tolerance_exceeded = assessment.all_refused or assessment.silent_s >= tolerated_s
+        return assessment.witnesses >= _MIN_WITNESSES and tolerance_exceeded
 
-    def _is_our_turn(self, now: float, key: _PendingKey) -> bool:
-        """Whether this controller is to do what has been due since this was first asked.
+    def _has_rank_delay_elapsed(self, now: float, key: _ConditionKey) -> bool:
+        """Return whether the condition has held for this controller's rank delay.
 
-        One is enough: the first healthy member in order does it, and whoever follows only if that
-        one does not.
+        The healthy members try in order, each after a delay that grows with its rank, so that a
+        member acts only if those before it did not.
         """
-        due_since = self._pending_since.setdefault(key, now)
+        due_since = self._condition_since.setdefault(key, now)
         rank = sum(node < self.node for node in self._health.serving_members())
-        return now - due_since >= rank * _RANK_DELAY * self.detector.heartbeat_interval_s
+        return now - due_since >= rank * _RANK_DELAY_HEARTBEATS * self.detector.heartbeat_interval_s
 
-    # Teams that go home
+    # Returns of teams to their homes
 
-    def _returns(self, now: float, wall: float) -> list[MembershipChange]:
-        """The return of one team to its home, when all have been healthy for a while."""
-        stable_s = _STABLE_TIME * self.detector.report_s
+    def _team_returns(self, now: float, wall_clock_s: float) -> list[MembershipChange]:
+        """Return a change that moves one team to its home, if the cluster has been stable."""
+        stable_s = _STABLE_INTERVALS * self.detector.report_s
         if not self.is_stable(now) or now - self._reassigned_at < stable_s:
             return []
         if min(self._health.serving_members(), default="") != self.node:
@@ -264,15 +273,15 @@
             assignment = self._cache.assignments.get(team)
             if assignment is None or assignment.node == home:
                 continue
-            if self._may_go_home(home, wall):
+            if self._is_home_ready(home, wall_clock_s):
                 return [MembershipChange(ChangeKind.RETURN, team, assignment, assignee=home)]
         return []
 
-    def _may_go_home(self, home: str, wall: float) -> bool:
-        """Whether a team's home is in, healthy, and has been for its settling time."""
+    def _is_home_ready(self, home: str, wall_clock_s: float) -> bool:
+        """Return whether a team's home is healthy and has been in for its settling time."""
         member = self._cache.roster.get(home)
         if member is None or member.state != IN:
             return False
         if home != self.node and self.assessments[home].level is not HealthLevel.HEALTHY:
             return False
-        return wall - member.since >= settling_time_s(member, self.settling_time_s)
+        return wall_clock_s - member.since >= settling_time_s(member, self.settling_time_s)
--- a/src/sandladder/membership/roster.py
+++ b/src/sandladder/membership/roster.py
@@ -1,8 +1,8 @@
-"""The roster: which controllers are members, agreed in one record, and which schedules which team.
+"""The roster: a record of the member controllers, and the assignment of teams to them.
 
-All that read the records at the same revision know the same members and the same assignees.
-Nothing here proves that a controller has ended: starts rest on the teams' records, and losses on
-the proofs of docs/safety.md.  Pure.
+All controllers that read the records at the same revision see the same members and assignees.  The
+roster does not prove that a controller has stopped: starts are conditional on the teams' records,
+and losses on the proofs in docs/safety.md.  Pure.
 """
 
 from collections import Counter
@@ -13,44 +13,48 @@
 from sandladder.model import IN, OUT, Member, TeamAssignment
 from sandladder.state import TEAM_PREFIX, StateCache
 
-# How often the settling time is doubled at the most.
+# Upper bound on the number of times that the settling time is doubled.
 _MAX_DOUBLINGS = 5
 
 Roster = Mapping[str, Member]
 
 
 class RosterRecords(NamedTuple):
-    """The roster, and the process to which each team is assigned."""
+    """The roster, and the controller process to which each team is assigned."""
 
     roster: Roster
     assignments: Mapping[str, TeamAssignment]
 
     @staticmethod
-    def of(cache: StateCache) -> "RosterRecords":
-        """The records as a controller's cache holds them."""
+    def from_cache(cache: StateCache) -> "RosterRecords":
+        """Return the records in a controller's cache."""
         return RosterRecords(cache.roster, cache.assignments)
 
     def is_assigned(self, team: str, node: str) -> bool:
-        """Whether the team's record names this controller, in whichever process."""
+        """Return whether the team's record names this controller, whichever its process."""
         assignment = self.assignments.get(team)
         return assignment is not None and assignment.node == node
 
 
-def settling_time_s(member: Member, least_s: float) -> float:
-    """How long a member must have been healthy before it gets its teams back, in seconds.
+def settling_time_s(member: Member, base_settling_time_s: float) -> float:
+    """Return how long a member must have been in before its teams return to it, in seconds.
 
-    `least_s` after the first eviction; each further one soon after the member came back doubles it.
+    `base_settling_time_s` applies after the first eviction.  Each further eviction soon after the
+    member came back doubles it, so that a flapping controller does not move its teams repeatedly.
     """
-    return least_s * 2.0 ** min(member.flaps, _MAX_DOUBLINGS)
+    return base_settling_time_s * 2.0 ** min(member.flaps, _MAX_DOUBLINGS)
 
 
 def home_controllers(teams: Iterable[str], nodes: list[str]) -> dict[str, str]:
-    """Where each team is scheduled while all controllers are healthy, dealt out in turn."""
+    """Return each team's home controller, assigned round-robin.
+
+    The home schedules the team while all controllers are healthy.
+    """
     return {team: nodes[index % len(nodes)] for index, team in enumerate(teams)}
 
 
 def team_counts(records: RosterRecords) -> Counter[str]:
-    """How many teams are assigned to each member that is not out."""
+    """Return the number of teams assigned to each member that is not out."""
     roster = records.roster
     return Counter(
         assignment.node
@@ -60,9 +64,10 @@
 
 
 def successor(team: str, roster: Roster, counts: Mapping[str, int]) -> str | None:
-    """The member that takes a team over: the one with the fewest teams, then by rendezvous hash.
+    """Return the member to which a team fails over, or None if no member is in.
 
-    The same for all that read the same records; None when nobody is in.
+    It is the member with the fewest teams; ties are broken by rendezvous hashing.  The result is
+    the same for all controllers that read the same records.
     """
     candidates = [node for node, member in roster.items() if member.state == IN]
     return min(
@@ -73,10 +78,10 @@
 
 
 def rightful_assignee(team: str, home: str, records: RosterRecords) -> str | None:
-    """The member to which a team belongs by the records, None when nobody is in.
+    """Return the member that is responsible for a team, or None if no member is in.
 
-    The one that the team's record names, whichever its process is now, unless it is out; at first
-    the team's home.
+    It is the controller named in the team's record, or the team's home if there is no record; if
+    that controller is out, its successor.
     """
     assignment = records.assignments.get(team)
     node = home if assignment is None else assignment.node
@@ -87,15 +92,16 @@
 
 
 def may_schedule(cache: StateCache, team: str, assignment: TeamAssignment | None) -> bool:
-    """Whether starts of this team are surely this process's to commit.
+    """Return whether this process may commit starts of a team.
 
-    Its record must name this very process, and the cache must hold all that was committed before
-    it did: then the usage counted from the live jobs is no less than the true one.
+    The team's record must name this process, and the cache must include everything committed
+    before that.  Otherwise the usage counted from the live jobs could be too low, and a limit
+    could be exceeded.
 
     Args:
-        cache: the records as this process knows them.
+        cache: this process's cache of the records.
         team: the team's name.
-        assignment: what the record must name; None: this process has not joined.
+        assignment: this process, as the record must name it; None if it has not joined.
     """
     return (
         assignment is not None
--- a/src/sandladder/membership/roster_transitions.py
+++ b/src/sandladder/membership/roster_transitions.py
@@ -1,13 +1,13 @@
-"""The changes that the roster may undergo.
+"""The transitions of the roster.
 
-Everything that moves a team is one conditional transaction on the roster and on that team's record,
-written by whoever has the evidence.  So of two controllers that see different things one is
-refused.
+Each change that moves a team is one compare-and-swap on the roster and on the team's record, so
+that of two controllers that decide on different records one is refused.
 
-Each function takes the records as they are and returns the transition, empty if there is nothing to
-change; `write` binds it to what it was decided on.  The vocabulary is SWIM's (Das, Gupta and
-Motivala, "SWIM: scalable weakly-consistent infection-style process group membership protocol",
-2002, section 4.2): a member is suspected, and refutes that with a higher incarnation.  Pure.
+Each function takes the current records and returns the transition, which is empty if nothing
+changes; `write` makes it conditional on these records.  The terms are those of SWIM (Das, Gupta
+and Motivala, "SWIM: scalable weakly-consistent infection-style process group membership protocol",
+2002, section 4.2): a member is suspected, and refutes the suspicion with a higher incarnation.
+Pure.
 """
 
 from collections.abc import Iterable, Mapping
@@ -30,203 +30,209 @@
     assignment_value,
 )
 
-# A flap is forgotten after so many settling times without another.
-_FORGIVEN_SETTLING_TIMES = 16
-# Why a controller that shut down in order is out, as the roster stores it.
-_LEFT = "it went"
+# Settling times without an eviction after which the count of flaps is reset.
+_FLAP_RESET_SETTLING_TIMES = 16
+# Evidence for the eviction of a controller that shut down gracefully; stored in the roster.
+_LEAVE_EVIDENCE = "it went"
 
 
 class RosterTransition(NamedTuple):
     """A change of the roster and of the teams' assignments."""
 
-    roster: Roster | None = None  # None: it stays, and the change is bound to it
+    roster: Roster | None = None  # None: unchanged, but the change is conditional on its version
     assignments: Mapping[str, TeamAssignment] = {}
 
     def __bool__(self) -> bool:
         return self.roster is not None or bool(self.assignments)
 
 
-_NOTHING = RosterTransition()
+_NO_CHANGE = RosterTransition()
 
 
 def join(
-    records: RosterRecords, node: str, incarnation: int, wall: float, teams: Iterable[str]
+    records: RosterRecords, node: str, incarnation: int, wall_clock_s: float, teams: Iterable[str]
 ) -> RosterTransition:
-    """A controller becomes a member, perhaps again, and its teams go to its new process.
+    """Make a controller a member, and assign its teams to its current process.
 
     Args:
-        records: as they are.
+        records: the current records.
         node: the controller.
         incarnation: the fencing token with which its process joins.
-        wall: the time of day, in seconds.
-        teams: all teams; those that are assigned to the controller go along.
+        wall_clock_s: the time of day, in seconds.
+        teams: all teams; those assigned to the controller move to its current process.
 
     Raises:
         PreconditionFailedError: a later process of this controller is a member.
     """
-    known = records.roster.get(node)
-    if known is not None and known.state == IN and known.incarnation == incarnation:
-        return _NOTHING
-    if known is not None and known.incarnation > incarnation:
-        raise PreconditionFailedError("a later process runs under this name")
-    flaps, refuted, since = 0, 0, wall
-    if known is not None:
-        flaps = known.flaps
-        if known.incarnation == incarnation:
-            refuted = known.refutations + 1
-        if known.state != OUT:
-            since = known.since  # it was never evicted: nothing of it moved
+    current = records.roster.get(node)
+    if current is not None and current.state == IN and current.incarnation == incarnation:
+        return _NO_CHANGE
+    if current is not None and current.incarnation > incarnation:
+        raise PreconditionFailedError("a later process of this controller has joined")
+    flaps, refutations, since = 0, 0, wall_clock_s
+    if current is not None:
+        flaps = current.flaps
+        if current.incarnation == incarnation:
+            refutations = current.refutations + 1
+        if current.state != OUT:
+            since = current.since  # it was not evicted, so none of its teams moved
     assignment = TeamAssignment(node, incarnation)
     own = {team: assignment for team in teams if records.is_assigned(team, node)}
-    member = Member(incarnation, refuted, IN, since, flaps, "")
+    member = Member(incarnation, refutations, IN, since, flaps, "")
     return RosterTransition({**records.roster, node: member}, own)
 
 
-def suspect(records: RosterRecords, node: str, observed: Member, why: str) -> RosterTransition:
-    """Put a member under suspicion: it has a moment to refute that, and nothing moves yet.
+def suspect(records: RosterRecords, node: str, observed: Member, evidence: str) -> RosterTransition:
+    """Suspect a member; its teams stay assigned, and it can still refute the suspicion.
 
     Args:
-        records: as they are.
+        records: the current records.
         node: the suspected member.
-        observed: the member as it was when the suspicion arose.
-        why: the evidence, which the roster stores.
+        observed: the member's record at the decision.
+        evidence: human-readable text that the roster stores.
 
     Raises:
         PreconditionFailedError: the member has changed since it was observed.
     """
-    known = _unchanged(records, node, observed)
-    if known.state != IN:
-        return _NOTHING
-    return RosterTransition({**records.roster, node: known._replace(state=SUSPECT, why=why)})
+    current = _require_unchanged(records, node, observed)
+    if current.state != IN:
+        return _NO_CHANGE
+    return RosterTransition({**records.roster, node: current._replace(state=SUSPECT, why=evidence)})
 
 
 def refute(records: RosterRecords, node: str, incarnation: int) -> RosterTransition:
-    """A suspected member that lives refutes that; its number of refutations goes up."""
-    known = records.roster.get(node)
-    if known is None or known.state != SUSPECT or known.incarnation != incarnation:
-        return _NOTHING
-    cleared = known._replace(state=IN, refutations=known.refutations + 1, why="")
+    """Clear a member's suspicion on behalf of its own process, and count the refutation."""
+    current = records.roster.get(node)
+    if current is None or current.state != SUSPECT or current.incarnation != incarnation:
+        return _NO_CHANGE
+    cleared = current._replace(state=IN, refutations=current.refutations + 1, why="")
     return RosterTransition({**records.roster, node: cleared})
 
 
 def clear(records: RosterRecords, node: str, observed: Member) -> RosterTransition:
-    """Take a suspicion back: the member's heartbeats arrive again.
+    """Clear the suspicion of another member, whose heartbeats arrive again.
 
     Raises:
         PreconditionFailedError: the member has changed since it was observed.
     """
-    known = _unchanged(records, node, observed)
-    if known.state != SUSPECT:
-        return _NOTHING
-    return RosterTransition({**records.roster, node: known._replace(state=IN, why="")})
+    current = _require_unchanged(records, node, observed)
+    if current.state != SUSPECT:
+        return _NO_CHANGE
+    return RosterTransition({**records.roster, node: current._replace(state=IN, why="")})
 
 
 def evict(
-    records: RosterRecords, node: str, observed: Member, why: str, wall: float, least_s: float
+    records: RosterRecords,
+    node: str,
+    observed: Member,
+    evidence: str,
+    wall_clock_s: float,
+    base_settling_time_s: float,
 ) -> RosterTransition:
     """Evict a member and assign its teams to their successors.
 
-    Only one that is still under suspicion, or whose lease has ended: the caller saw to that, and
-    a member that changed meanwhile refuses it here.
+    The caller ensures that the member is suspected or that its lease has expired.
 
     Args:
-        records: as they are.
+        records: the current records.
         node: the member to evict.
-        observed: the member as it was when this was decided.
-        why: the evidence, which the roster stores.
-        wall: the time of day, in seconds.
-        least_s: the settling time after a first eviction, in seconds.
+        observed: the member's record at the decision.
+        evidence: human-readable text that the roster stores.
+        wall_clock_s: the time of day, in seconds.
+        base_settling_time_s: the settling time after a first eviction, in seconds.
 
     Raises:
         PreconditionFailedError: the member has changed since it was observed.
     """
-    known = _unchanged(records, node, observed)
-    if known.state == OUT:
-        return _NOTHING
-    forgiven_s = _FORGIVEN_SETTLING_TIMES * settling_time_s(known, least_s)
-    flaps = 1 if wall - known.since > forgiven_s else known.flaps + 1
-    out = known._replace(state=OUT, since=wall, flaps=flaps, why=why)
-    after = RosterRecords({**records.roster, node: out}, records.assignments)
-    return RosterTransition(after.roster, _reassigned(records, after, node))
-
-
-def _reassigned(
-    before: RosterRecords, after: RosterRecords, node: str
+    current = _require_unchanged(records, node, observed)
+    if current.state == OUT:
+        return _NO_CHANGE
+    flap_reset_s = _FLAP_RESET_SETTLING_TIMES * settling_time_s(current, base_settling_time_s)
+    flaps = 1 if wall_clock_s - current.since > flap_reset_s else current.flaps + 1
+    out = current._replace(state=OUT, since=wall_clock_s, flaps=flaps, why=evidence)
+    new_records = RosterRecords({**records.roster, node: out}, records.assignments)
+    return RosterTransition(new_records.roster, _reassignments(records, new_records, node))
+
+
+def _reassignments(
+    old_records: RosterRecords, new_records: RosterRecords, node: str
 ) -> dict[str, TeamAssignment]:
-    """The new assignments of a member's teams once it is out."""
-    counts = team_counts(after)
+    """Return the new assignments of a member's teams after its eviction."""
+    counts = team_counts(new_records)
     moved: dict[str, TeamAssignment] = {}
-    for team in sorted(before.assignments):
-        if not before.is_assigned(team, node):
+    for team in sorted(old_records.assignments):
+        if not old_records.is_assigned(team, node):
             continue
-        new_assignee = successor(team, after.roster, counts)
+        new_assignee = successor(team, new_records.roster, counts)
         if new_assignee is not None:
             counts[new_assignee] += 1
-            moved[team] = TeamAssignment(new_assignee, after.roster[new_assignee].incarnation)
+            moved[team] = TeamAssignment(new_assignee, new_records.roster[new_assignee].incarnation)
     return moved
 
 
-def leave(records: RosterRecords, node: str, incarnation: int, wall: float) -> RosterTransition:
-    """A controller that shuts down hands its teams over itself; that counts as no flap."""
-    known = records.roster.get(node)
-    if known is None or known.incarnation != incarnation or known.state == OUT:
-        return _NOTHING
-    transition = evict(records, node, known, _LEFT, wall, 1.0)
+def leave(
+    records: RosterRecords, node: str, incarnation: int, wall_clock_s: float
+) -> RosterTransition:
+    """Evict a controller that shuts down gracefully, without counting a flap."""
+    current = records.roster.get(node)
+    if current is None or current.incarnation != incarnation or current.state == OUT:
+        return _NO_CHANGE
+    transition = evict(records, node, current, _LEAVE_EVIDENCE, wall_clock_s, 1.0)
     assert transition.roster is not None
-    out = transition.roster[node]._replace(flaps=known.flaps)
+    out = transition.roster[node]._replace(flaps=current.flaps)
     return transition._replace(roster={**transition.roster, node: out})
 
 
 def claim(
     records: RosterRecords, team: str, home: str, assignment: TeamAssignment
 ) -> RosterTransition:
-    """A member claims a team that is its own by the records, and nobody else's.
+    """Assign a team to the process of the member that is responsible for it.
 
     Raises:
-        PreconditionFailedError: the process is no member, or the team is another's.
+        PreconditionFailedError: the process is not a member, or the team belongs to another one.
     """
     if records.assignments.get(team) == assignment:
-        return _NOTHING
+        return _NO_CHANGE
     member = records.roster.get(assignment.node)
     if member is None or member.state != IN or member.incarnation != assignment.incarnation:
-        raise PreconditionFailedError("not a member")
+        raise PreconditionFailedError("this process is not a member")
     if rightful_assignee(team, home, records) != assignment.node:
-        raise PreconditionFailedError("another controller's team")
+        raise PreconditionFailedError("the team belongs to another controller")
     return RosterTransition(assignments={team: assignment})
 
 
 def reassign(
     records: RosterRecords, team: str, node: str, observed: TeamAssignment
 ) -> RosterTransition:
-    """Hand a team to another member that is in, as one that has come back.
+    """Reassign a team to another member that is in.
 
     Raises:
         PreconditionFailedError: the member is not in, or the team has moved since it was observed.
     """
     member = records.roster.get(node)
     if member is None or member.state != IN:
-        raise PreconditionFailedError("it is not in")
+        raise PreconditionFailedError("the new assignee is not an active member")
     if records.assignments.get(team) != observed:
-        raise PreconditionFailedError("the team has moved since")
+        raise PreconditionFailedError("the team has moved since it was observed")
     return RosterTransition(assignments={team: TeamAssignment(node, member.incarnation)})
 
 
 def write(transaction: Transaction, transition: RosterTransition, max_operations: int) -> bool:
-    """Put a transition into a transaction; False if there is nothing to change.
+    """Add a transition to a transaction; return False if there is nothing to change.
 
-    It is bound to the roster and to the records of the teams that it moves.  Teams that would take
-    the transaction past `max_operations` are claimed by their successors afterwards, which follow
-    from the roster alone.
+    The transaction is conditional on the versions of the roster and of the records of the teams
+    that move.  Teams that would exceed `max_operations` are left out; their successors, which
+    follow from the roster, claim them afterwards.
 
     Raises:
-        PreconditionFailedError: the transaction changes the roster already.
+        PreconditionFailedError: the transaction already changes the roster.
     """
     if not transition:
         return False
     cache = transaction.cache
     if ROSTER_KEY in transaction.other_records:
-        # What was decided on the roster as it is does not hold for what it will be.
-        raise PreconditionFailedError("another change of the roster goes along")
+        # The transition was decided on the current roster, which this transaction will replace.
+        raise PreconditionFailedError("the transaction already changes the roster")
     transaction.expected_versions[ROSTER_KEY] = cache.version(ROSTER_KEY)
     if transition.roster is not None:
         value = {node: list(member) for node, member in sorted(transition.roster.items())}
@@ -240,9 +246,13 @@
     return True
 
 
-def _unchanged(records: RosterRecords, node: str, observed: Member) -> Member:
-    """The member, if nothing newer refutes what was observed of it."""
-    known = records.roster.get(node)
-    if known is None or known[:3] != observed[:3]:
+def _require_unchanged(records: RosterRecords, node: str, observed: Member) -> Member:
+    """Return the member's current record if its state is still the observed one.
+
+    Raises:
+        PreconditionFailedError: the member has changed since it was observed.
+    """
+    current = records.roster.get(node)
+    if current is None or current[:3] != observed[:3]:
         raise PreconditionFailedError("the member has changed since it was observed")
-    return known
+    return current
--- a/src/sandladder/membership/service.py
+++ b/src/sandladder/membership/service.py
@@ -1,4 +1,4 @@
-"""The membership service: feeds the failure detector, and commits what the policy decides."""
+"""The membership service: feeds the failure detector and commits the policy's decisions."""
 
 import logging
 from collections.abc import Callable, Mapping
@@ -29,21 +29,20 @@
 
 log = logging.getLogger(__name__)
 
-# Decisions are made so many times in a heartbeat interval.
-_DECISIONS_PER_HEARTBEAT = 2
-# Changes that may move all teams at once.
-_MOVING_ALL_TEAMS = frozenset({ChangeKind.JOIN, ChangeKind.LEAVE, ChangeKind.EVICT})
+_DECISIONS_PER_HEARTBEAT_INTERVAL = 2
+# Kinds of changes that may move all teams at once.
+_KINDS_MOVING_ALL_TEAMS = frozenset({ChangeKind.JOIN, ChangeKind.LEAVE, ChangeKind.EVICT})
 
 
 class LeaseStatus(Protocol):
-    """What is asked of this controller's own lease."""
+    """The state of this controller's lease."""
 
     def alive(self) -> bool:
-        """Whether the lease surely lasts."""
+        """Return whether the lease is certainly valid now."""
 
 
 class MembershipService:
-    """This controller's part in agreeing who is a member, and which member schedules which team."""
+    """This controller's part in maintaining the roster and the assignment of teams to members."""
 
     def __init__(
         self,
@@ -59,27 +58,27 @@
         on_teams_moved: Callable[[], None],
         on_unready_changed: Callable[[frozenset[str]], None],
     ) -> None:
-        """Set the service up; `run` does its work.
+        """Create the service without starting it; `run` does its work.
 
         Args:
             policy: decides what to commit.
-            zones: of all controllers, by name.
-            cache: the records as this process knows them.
+            zones: the zones of all controllers, by controller name.
+            cache: this process's cache of the records.
             committer: commits changes.
-            limits: of the state service's transactions.
-            lease: this controller's own; nothing is written while it may have expired.
-            store_reachable: whether the state service answered of late.
-            wall: the time of day, in seconds.
-            on_teams_moved: called when this process changed the roster or a team's assignment.
-            on_unready_changed: called with the controllers that cannot do their part, whenever
-                these change.
+            limits: the store's limits on transactions.
+            lease: this controller's lease; nothing is written while it may have expired.
+            store_reachable: returns whether the store has answered recently.
+            wall: returns the time of day, in seconds.
+            on_teams_moved: called after this process changed the roster or a team's assignment.
+            on_unready_changed: called with the controllers at level UNREADY or worse, whenever
+                this set changes.
         """
         self.policy = policy
         self.detector: FailureDetector = policy.detector
         self.node = policy.node
         self.own: TeamAssignment | None = None  # this process, once it has joined
         self.leaving = False
-        self._due = Signal()
+        self._wakeup = Signal()
         self._zones = zones
         self._cache = cache
         self._committer = committer
@@ -91,65 +90,65 @@
         self._on_unready_changed = on_unready_changed
         self._unready: frozenset[str] = frozenset()
         self._in_progress: set[tuple[ChangeKind, str]] = set()  # kind and subject
-        self._inventories: dict[str, MachineInventory] = {}
-        self._members: dict[str, Member] = {}
+        self._seen_inventories: dict[str, MachineInventory] = {}
+        self._seen_roster: dict[str, Member] = {}
 
     # Observations
 
     def lease_acquired(self, fencing_token: int) -> None:
-        """This process acquired its lease; its first fencing token is its incarnation."""
+        """Note that this process acquired a lease; its first token is its incarnation."""
         if self.own is None:
             self.own = TeamAssignment(self.node, fencing_token)
-        self._due.set()
+        self._wakeup.set()
 
     def receive_heartbeat(self, node: str, status: PeerStatus) -> None:
-        """A peer's heartbeat arrived."""
+        """Record the status in a peer's heartbeat."""
         self.detector.record_heartbeat(node, status, clock.now())
 
     def connection_changed(self, node: str, refused: bool) -> None:
-        """The connection to a peer was made, or could not be; `refused`: nobody listens there."""
+        """Record that a connection to a peer was made or refused."""
         self.detector.record_connection(node, refused)
-        self._due.set()
+        self._wakeup.set()
 
     def observe(self, now: float) -> None:
-        """The records changed: note who wrote something, and whether a member's state changed."""
+        """Note, after the records changed, whose writes are new and which members changed state."""
         for node, inventory in self._cache.inventories.items():
-            if self._inventories.get(node) is not inventory:
-                self._inventories[node] = inventory
+            if self._seen_inventories.get(node) is not inventory:
+                self._seen_inventories[node] = inventory
                 self.detector.record_write(node, now)
-        if self._cache.roster is self._members:
+        if self._cache.roster is self._seen_roster:
             return
-        before, self._members = self._members, self._cache.roster
-        for node, member in self._members.items():
-            known = before.get(node)
-            if known is None or (member.incarnation, member.refutations) > (
-                known.incarnation,
-                known.refutations,
+        old_roster, self._seen_roster = self._seen_roster, self._cache.roster
+        for node, member in self._seen_roster.items():
+            previous = old_roster.get(node)
+            if previous is None or (member.incarnation, member.refutations) > (
+                previous.incarnation,
+                previous.refutations,
             ):
                 self.detector.record_write(node, now)
-            if known is None or known.state != member.state:
-                self._due.set()
+            if previous is None or previous.state != member.state:
+                self._wakeup.set()
 
-    # Questions
+    # Queries
 
     def assignee(self, team: str) -> str | None:
-        """The member that should learn of what concerns a team; None when nobody is in."""
+        """Return the member that is responsible for a team, or None if no member is in."""
         home = self.policy.homes.get(team, self.node)
-        return rightful_assignee(team, home, RosterRecords.of(self._cache))
+        return rightful_assignee(team, home, RosterRecords.from_cache(self._cache))
 
     def members(self) -> list[str]:
-        """The controllers that are in or suspected by the roster, in order; the same for all."""
+        """Return the controllers that are in or suspected according to the roster, sorted."""
         roster = sorted(self._cache.roster.items())
         return [node for node, member in roster if member.state in (IN, SUSPECT)]
 
-    def worker_loads(self, ours: int, token: int) -> dict[str, WorkerLoad]:
-        """The controllers that can take agents, this one among them.
+    def worker_loads(self, own_agents: int, token: int) -> dict[str, WorkerLoad]:
+        """Return the loads of the controllers that accept agents, including this one.
 
         Args:
-            ours: how many agents report to this controller.
-            token: its fencing token.
+            own_agents: the number of agents that report to this controller.
+            token: this controller's fencing token.
         """
-        loads = {self.node: WorkerLoad(self._zones[self.node], ours, token)}
+        loads = {self.node: WorkerLoad(self._zones[self.node], own_agents, token)}
         for node, assessment in self.policy.assessments.items():
             status = self.detector.status(node)
             member = self._cache.roster.get(node)
@@ -164,23 +163,25 @@
         return loads
 
     def agents_report_elsewhere(self) -> bool:
-        """Whether agents report to some other controller that can serve."""
+        """Return whether agents report to another controller that can serve."""
         statuses = (self.detector.status(node) for node in self.serving_peers())
         return any(status is not None and status.agents for status in statuses)
 
     def serving_peers(self) -> list[str]:
-        """The peers that can be given something to do: the healthy ones, if there are any."""
+        """Return the healthy peers, or all peers that can serve if none is healthy."""
         assessments = self.policy.assessments.items()
-        healthy = [node for node, found in assessments if found.level is HealthLevel.HEALTHY]
-        return healthy or [node for node, found in assessments if found.can_serve]
+        healthy = [
+            node for node, assessment in assessments if assessment.level is HealthLevel.HEALTHY
+        ]
+        return healthy or [node for node, assessment in assessments if assessment.can_serve]
 
     # Changes
 
     async def leave(self, within_s: float) -> None:
-        """Hand over this controller's teams before the process ends.
+        """Hand this controller's teams over before the process ends.
 
-        Waits until that is committed, or refused, at most `within_s` seconds.  Cancelled, the
-        change may be committed all the same.
+        Waits until the change is committed or refused, for at most `within_s` seconds.  If
+        cancelled, the change may still be committed.
         """
         self.leaving = True
         if self.own is not None and self._lease.alive():
@@ -188,36 +189,35 @@
                 await self._commit(MembershipChange(ChangeKind.LEAVE))
 
     async def run(self) -> None:
-        """Decide and commit until cancelled.
+        """Decide on changes and commit them until cancelled.
 
-        Changes that are not committed by then are given up; they may be committed all the same.
+        Changes that are not yet committed when cancelled may still be committed.
         """
-        interval_s = self.detector.heartbeat_interval_s / _DECISIONS_PER_HEARTBEAT
+        interval_s = self.detector.heartbeat_interval_s / _DECISIONS_PER_HEARTBEAT_INTERVAL
         async with anyio.create_task_group() as tasks:
             while True:
-                asleep_at = clock.now()
-                await self._due.wait(interval_s)
+                wait_started = clock.now()
+                await self._wakeup.wait(interval_s)
                 now = clock.now()
-                if now - asleep_at >= interval_s:  # else it was woken before the time
-                    self.detector.record_wakeup(now - asleep_at - interval_s, now)
-                changes = self.policy.decide(now, self._wall(), self._own_if_able())
-                self._announce_unready()
+                if now - wait_started >= interval_s:  # else the wait ended early
+                    self.detector.record_wakeup(now - wait_started - interval_s, now)
+                changes = self.policy.decide(now, self._wall(), self._own_if_writable())
+                self._notify_unready()
                 for change in changes:
                     key = change.kind, change.subject
                     if key not in self._in_progress:
                         self._in_progress.add(key)
                         tasks.start_soon(self._commit, change)
 
-    def _own_if_able(self) -> TeamAssignment | None:
-        """This process, if it could write what is decided.
+    def _own_if_writable(self) -> TeamAssignment | None:
+        """Return this process if it can write to the store, else None.
 
-        Nothing is decided that cannot be written.  Seen in a measured day: what each controller had
-        decided of the others in an outage of the state service was written when it was over.
+        Otherwise suspicions decided during an outage of the store would be committed after it.
         """
-        able = self._lease.alive() and self._store_reachable() and not self.leaving
-        return self.own if able else None
+        writable = self._lease.alive() and self._store_reachable() and not self.leaving
+        return self.own if writable else None
 
-    def _announce_unready(self) -> None:
+    def _notify_unready(self) -> None:
         unready = frozenset(
             node
             for node, assessment in self.policy.assessments.items()
@@ -228,9 +228,9 @@
             self._on_unready_changed(unready)
 
     async def _commit(self, change: MembershipChange) -> None:
-        """Commit what was decided, unless the records refute it."""
+        """Commit a change, unless the records have changed since it was decided."""
         subject = change.subject or self.node
-        # A refutation and a failover are what people wait for: they go with the lease's priority.
+        # Refutations and failovers are urgent, so they have the priority of lease renewals.
         pending = PendingChange(
             f"{change.kind.value} {subject}",
             PRIORITY_LEASE,
@@ -240,7 +240,7 @@
         try:
             await self._committer.add(pending).wait()
         except (PreconditionFailedError, LeaseExpiredError) as refusal:
-            log.info("roster: no %s: %s", pending.name, refusal)
+            log.info("roster change not committed: %s: %s", pending.name, refusal)
         else:
             _log_committed(change, subject)
             self._on_teams_moved()
@@ -248,17 +248,17 @@
             self._in_progress.discard((change.kind, change.subject))
 
     def _cost(self, kind: ChangeKind) -> int:
-        """How many puts a change may take at most."""
-        teams = len(self.policy.homes) if kind in _MOVING_ALL_TEAMS else 0
+        """Return the maximum number of puts of a change."""
+        teams = len(self.policy.homes) if kind in _KINDS_MOVING_ALL_TEAMS else 0
         return min(1 + teams, self._limits.txn_ops)
 
     def _apply(self, change: MembershipChange) -> Callable[[Transaction], bool]:
-        """Evaluates a change on the records as they are whenever it is tried."""
-        own, max_operations, wall = self.own, self._limits.txn_ops, self._wall()
+        """Return a function that applies a change to the records current at each attempt."""
+        own, max_operations, wall_clock_s = self.own, self._limits.txn_ops, self._wall()
         assert own is not None
 
         def apply(transaction: Transaction) -> bool:
-            transition = self.policy.transition(change, transaction.cache, own, wall)
+            transition = self.policy.transition(change, transaction.cache, own, wall_clock_s)
             return roster_transitions.write(transaction, transition, max_operations)
 
         return apply
@@ -269,10 +269,10 @@
         case ChangeKind.CLAIM:
             log.info("team %s is assigned to this controller", subject)
         case ChangeKind.RETURN:
-            log.info("team %s returns to its home, controller %s", subject, change.assignee)
+            log.info("team %s returned to its home controller %s", subject, change.assignee)
         case ChangeKind.SUSPECT:
             log.warning("controller %s is suspected: %s", subject, change.evidence)
         case ChangeKind.EVICT:
             log.warning("controller %s is evicted: %s", subject, change.evidence)
         case _:
-            log.info("controller %s in the roster: %s", subject, change.kind.value)
+            log.info("roster change committed: controller %s, %s", subject, change.kind.value)
--- a/src/sandladder/membership/worker_assignment.py
+++ b/src/sandladder/membership/worker_assignment.py
@@ -1,9 +1,9 @@
-"""Which controller an agent should report to: bounded loads, its own zone first.
+"""The assignment of agents to controllers: bounded loads, with the agent's own zone preferred.
 
-Rendezvous hashing names each agent's home among the controllers that can take it; a controller that
-has more than its share takes no more, and the next home is asked (consistent hashing with bounded
-loads, Mirrokni, Thorup and Zadimoghaddam, 2018).  The own zone comes first because an agent whose
-controller is in its zone does not notice when that zone is cut off.  Pure.
+Rendezvous hashing selects an agent's controller among those that accept agents; a controller at
+its load bound is skipped (consistent hashing with bounded loads, Mirrokni, Thorup and
+Zadimoghaddam, 2018).  The agent's own zone is preferred so that a partition of the zone does not
+separate the agent from its controller.  Pure.
 """
 
 import math
@@ -12,43 +12,42 @@
 
 from sandladder.membership.rendezvous import rendezvous_weight
 
-# No controller takes agents past so many times its fair share; agents of other zones only up to the
-# lower bound, which leaves capacity for those of its own.
+# Upper bounds on a controller's agents, as multiples of its fair share.  The bound for agents of
+# other zones is lower, which leaves capacity for those of its own zone.
 _LOAD_BOUND = 1.2
 _FOREIGN_LOAD_BOUND = 1.05
-# Another controller must have so much less, as a share of the fair one: two that know each other's
-# numbers a heartbeat late would else send an agent back and forth.
-_MARGIN_SHARE = 0.05
-# An agent from which nobody has had a heartbeat for so much of its lease is taken, not redirected.
+# Minimum load difference for a redirect, as a share of the fair share.  Controllers know each
+# other's loads a heartbeat late, and would otherwise redirect an agent back and forth.
+_LOAD_MARGIN_SHARE = 0.05
+# An agent that has been silent for a larger share of its lease is accepted, not redirected.
 _MAX_SILENCE_SHARE = 0.5
-# An agent is redirected at most once in so many times that silence.
-_REDIRECT_PAUSE = 4
-# While all is well so large a share of the fair one moves in an interval between agent heartbeats.
-_REBALANCED_SHARE = 0.1
+# Minimum time between two redirects of an agent, as a multiple of that silence.
+_REDIRECT_PAUSE_FACTOR = 4
+# Upper bound on the agents moved for balance per agent heartbeat interval, as a share of the fair
+# share.
+_REBALANCE_SHARE = 0.1
 
 
 class WorkerLoad(NamedTuple):
-    """A controller that can take agents."""
+    """The load of a controller that accepts agents."""
 
     zone: str
-    agents: int  # how many report to it
-    fencing_token: (
-        int  # its fencing token: an agent that has seen a higher one makes it acquire a new one
-    )
+    agents: int  # number of agents that report to it
+    fencing_token: int  # an agent that has seen a higher one makes it acquire a new token
 
 
 class ReportingAgent(NamedTuple):
-    """An agent whose heartbeat has come, for the question where it should report."""
+    """An agent whose heartbeat has arrived."""
 
     machine: str
     zone: str
     token: int  # the highest fencing token that it has seen
     reports_here: bool  # it has reported to this controller before
-    silent_s: float | None  # since anybody had a heartbeat from it; None: nobody knows it
+    silent_s: float | None  # seconds since its last heartbeat at any controller; None if unknown
 
 
 class _Target(NamedTuple):
-    """A controller to which an agent may be redirected; the least is the best."""
+    """A controller to which an agent may be redirected; the smallest tuple is preferred."""
 
     foreign: bool  # it is in another zone than the agent
     needs_token: bool  # it would have to acquire a new fencing token
@@ -57,46 +56,46 @@
 
 
 class _Redirected(NamedTuple):
-    """How many agents were redirected to a controller since it last said how many it has."""
+    """The number of agents redirected to a controller since its reported load last changed."""
 
-    stated: int  # what it said
+    reported_agents: int
     redirects: int
 
 
 class WorkerAssignment:
-    """One controller's part in sharing the agents out."""
+    """One controller's part in distributing the agents among the controllers."""
 
     def __init__(self, node: str, report_s: float, lease_s: float) -> None:
-        """Times are in seconds.
+        """Create an assignment without earlier redirects; times are in seconds.
 
         Args:
             node: the controller of this process.
-            report_s: between two heartbeats of an agent.
-            lease_s: an agent's lease.
+            report_s: the interval between two heartbeats of an agent.
+            lease_s: the duration of an agent's lease.
         """
         self._node = node
         self._report_s = report_s
         self._max_silence_s = _MAX_SILENCE_SHARE * lease_s
         self._redirected_at: dict[str, float] = {}  # when an agent was last redirected
         self._redirected_to: dict[str, _Redirected] = {}
-        self._rebalanced = 0.0  # a leaky bucket of agents that were moved for balance alone
-        self._rebalanced_at = 0.0
+        self._rebalance_level = 0.0  # leaky bucket of the agents moved for balance
+        self._rebalance_updated_at = 0.0
 
     def redirect(
         self, agent: ReportingAgent, loads: Mapping[str, WorkerLoad], now: float, stable: bool
     ) -> str | None:
-        """The controller to which an agent should report instead of this one, or None.
+        """Return the controller to which an agent should report instead of this one, or None.
 
-        An agent that has reported here before moves only while all is stable, a few at a time, and
-        only to a controller that need not acquire a new fencing token for it: that costs the store,
-        and all its agents a moment.  One that has been looking for a controller for a while is
-        taken at once, before its lease runs out.
+        Agents that have reported here before are moved only while the cluster is stable, a few at a
+        time, and only to a controller that does not need a new fencing token for them, which would
+        load the store and delay all agents of that controller.  An agent that has been without a
+        controller for long is accepted at once, before its lease expires.
 
         Args:
-            agent: whose heartbeat has come.
-            loads: the controllers that can take agents, this one among them.
-            now: on the steady clock, in seconds.
-            stable: all members have been healthy for a while.
+            agent: the agent whose heartbeat has arrived.
+            loads: the controllers that accept agents, including this one.
+            now: on the monotonic clock, in seconds.
+            stable: whether all members have been healthy long enough.
         """
         own = loads.get(self._node)
         if own is None or len(loads) < 2:
@@ -109,18 +108,18 @@
             return None
         if agent.reports_here and not self._may_rebalance(now, fair_share):
             return None
-        self._note_redirect(agent.machine, target.node, loads[target.node].agents, now)
+        self._record_redirect(agent.machine, target.node, loads[target.node].agents, now)
         return target.node
 
     def _must_stay(self, agent: ReportingAgent, now: float) -> bool:
-        """Whether the agent may lose its lease, or its tasks, if it is redirected."""
+        """Return whether a redirect could cost the agent its lease and its tasks."""
         if agent.silent_s is None and agent.token > 0:
-            return True  # it may run tasks, and nobody knows since when it looks for a controller
+            return True  # it may run tasks, and its lease may be about to expire
         if (agent.silent_s or 0.0) > self._max_silence_s:
             return True
-        # It may be unable to reach the controller to which it was redirected, though this one can.
-        last = self._redirected_at.get(agent.machine, -math.inf)
-        return now - last < _REDIRECT_PAUSE * self._max_silence_s
+        # An agent that returns early may be unable to reach the controller to which it was sent.
+        last_redirect = self._redirected_at.get(agent.machine, -math.inf)
+        return now - last_redirect < _REDIRECT_PAUSE_FACTOR * self._max_silence_s
 
     def _best_target(
         self,
@@ -129,11 +128,11 @@
         loads: Mapping[str, WorkerLoad],
         fair_share: float,
     ) -> _Target | None:
-        """The best controller that is nearer to the agent, or less loaded if this one is full."""
-        away = own.zone != agent.zone
-        own_bound = (_FOREIGN_LOAD_BOUND if away else _LOAD_BOUND) * fair_share
+        """Return the best controller in the agent's zone, or with less load if this one is full."""
+        outside_zone = own.zone != agent.zone
+        own_bound = (_FOREIGN_LOAD_BOUND if outside_zone else _LOAD_BOUND) * fair_share
         full = own.agents + (not agent.reports_here) > own_bound
-        margin = max(1.0, _MARGIN_SHARE * fair_share)
+        margin = max(1.0, _LOAD_MARGIN_SHARE * fair_share)
         best: _Target | None = None
         for node, load in loads.items():
             if node == self._node:
@@ -145,36 +144,44 @@
             needs_token = load.fencing_token < agent.token
             if agent.reports_here and needs_token:
                 continue
-            nearer = away and not foreign
-            if not nearer and not (full and count + margin < own.agents):
+            moves_to_own_zone = outside_zone and not foreign
+            if not moves_to_own_zone and not (full and count + margin < own.agents):
                 continue
             weight = rendezvous_weight(agent.machine, node)
             target = _Target(foreign, needs_token, weight, node)
             best = target if best is None else min(best, target)
         return best
 
-    def _expected_agents(self, node: str, stated: int) -> int:
-        """How many agents a peer has, with those redirected to it since it said so."""
-        known = self._redirected_to.get(node)
-        return stated + known.redirects if known is not None and known.stated == stated else stated
-
-    def _note_redirect(self, machine: str, node: str, stated: int, now: float) -> None:
-        known = self._redirected_to.get(node)
-        count = known.redirects if known is not None and known.stated == stated else 0
-        self._redirected_to[node] = _Redirected(stated, count + 1)
-        pause_s = _REDIRECT_PAUSE * self._max_silence_s
+    def _expected_agents(self, node: str, reported_agents: int) -> int:
+        """Return a peer's reported number of agents plus those redirected to it since."""
+        earlier = self._redirected_to.get(node)
+        return (
+            reported_agents + earlier.redirects
+            if earlier is not None and earlier.reported_agents == reported_agents
+            else reported_agents
+        )
+
+    def _record_redirect(self, machine: str, node: str, reported_agents: int, now: float) -> None:
+        earlier = self._redirected_to.get(node)
+        count = (
+            earlier.redirects
+            if earlier is not None and earlier.reported_agents == reported_agents
+            else 0
+        )
+        self._redirected_to[node] = _Redirected(reported_agents, count + 1)
+        pause_s = _REDIRECT_PAUSE_FACTOR * self._max_silence_s
         self._redirected_at = {
             other: at for other, at in self._redirected_at.items() if now - at < pause_s
         }
         self._redirected_at[machine] = now
 
     def _may_rebalance(self, now: float, fair_share: float) -> bool:
-        """Whether one more agent may move now that is well where it is."""
-        limit = max(1.0, math.ceil(_REBALANCED_SHARE * fair_share))
-        drained = (now - self._rebalanced_at) * limit / self._report_s
-        self._rebalanced = max(0.0, self._rebalanced - drained)
-        self._rebalanced_at = now
-        if self._rebalanced + 1 > limit:
+        """Return whether one more agent may be moved for balance now, and count it if so."""
+        limit = max(1.0, math.ceil(_REBALANCE_SHARE * fair_share))
+        drained = (now - self._rebalance_updated_at) * limit / self._report_s
+        self._rebalance_level = max(0.0, self._rebalance_level - drained)
+        self._rebalance_updated_at = now
+        if self._rebalance_level + 1 > limit:
             return False
-        self._rebalanced += 1
+        self._rebalance_level += 1
         return True
