--- a/src/sandladder/agents/agent_expiry.py
+++ b/src/sandladder/agents/agent_expiry.py
@@ -69,7 +69,7 @@
                 self._scheduler.record_ended_attempts(self._reconciler.proved_ends(agent, cache))
             if agent.stale_start_token == self._reconciler.fencing_token and agent.accepts_token:
                 # Once the agent has shown a later token it refuses the start.
-                await self._controller_lease.acquire_token_above(self._reconciler.fencing_token + 1)
+                await self._controller_lease.ensure_token(self._reconciler.fencing_token + 1)
 
     def _forget_silent_agents(self, now: float) -> None:
         self._reconciler.forget_silent_agents(now, _FORGOTTEN_AFTER_LEASES * self._lease_s)
--- a/src/sandladder/agents/heartbeat_endpoint.py
+++ b/src/sandladder/agents/heartbeat_endpoint.py
@@ -63,7 +63,7 @@
         if redirected is not None:
             return redirected
         if heartbeat.fencing_token > self._reconciler.fencing_token:
-            raised = await self._group.controller_lease.acquire_token_above(heartbeat.fencing_token)
+            raised = await self._group.controller_lease.ensure_token(heartbeat.fencing_token)
             if not raised:
                 return _redirect_response(None)
         return self._accept(heartbeat)
--- a/src/sandladder/membership/controller_lease.py
+++ b/src/sandladder/membership/controller_lease.py
@@ -155,8 +155,8 @@
                 continue
             await self._wakeup.wait(renewal_interval_s)
 
-    async def acquire_token_above(self, token: int) -> bool:
-        """Acquire a fencing token that is at least `token`, unless this controller has one.
+    async def ensure_token(self, minimum: int) -> bool:
+        """Acquire a fencing token of at least `minimum`, unless this controller has one.
 
         An agent rejects commands with a lower token than the highest that it has seen.  Waits for
         the store for at most an agent's heartbeat interval.  If cancelled, a token may still be
@@ -166,14 +166,14 @@
             Whether the controller has such a token.
         """
         async with self._token_lock:
-            if self._fencing_token() >= token:
+            if self._fencing_token() >= minimum:
                 return True
             try:
                 with anyio.fail_after(self._report_s):
                     await self._watch.barrier()
                     if self._renewal is None:
                         return False
-                    await self._acquire_fencing_token(self._renewal.lease, token)
+                    await self._acquire_fencing_token(self._renewal.lease, minimum)
             except (TimeoutError, LeaseExpiredError, PreconditionFailedError):
                 return False
             return True
