--- a/src/sandladder/membership/controller_lease.py
+++ b/src/sandladder/membership/controller_lease.py
@@ -228,8 +228,8 @@
     async def _acquire_fencing_token(self, lease: int, above: int = 0) -> None:
         """Increment the shared counter of fencing tokens and adopt the new value.
 
-        The inventory is written in the same transaction, so that nobody sees the token without
-        its holder's inventory.
+        The inventory is written in the same transaction, so that the token is never visible
+        without its holder's inventory.
         """
         acquired = 0
         await self._inventory.write_ahead(lease)
--- a/src/sandladder/peers/__init__.py
+++ b/src/sandladder/peers/__init__.py
@@ -1,13 +1,14 @@
-"""The exchange between controllers.
+"""The communication between controllers.
 
-`PeerService` sends and receives; `HeartbeatExchange` makes the heartbeats and knows what the peers
-said in theirs, `RequestForwarder` has users' requests served by a peer, `WriteRateShare` divides
-the state service's write rate by demand, and `TeamDirectory` names the controller that schedules a
-team.
+`PeerService` sends and receives messages.  `HeartbeatExchange` builds the heartbeats and keeps the
+contents of the peers' last ones, `RequestForwarder` forwards users' requests to a peer,
+`WriteRateShare` divides the store's write rate by demand, and `TeamDirectory` returns the
+controller that schedules a team.
 
-The package owns the connections to the peers, what their heartbeats said last, and the requests
-that wait for a peer's response.  It judges no peer (`membership` does) and never serves a request
-itself.  What it sends is advisory: nothing ever rests on a message having arrived.
+The package owns the connections to the peers, the contents of their last heartbeats, and the
+requests that wait for a peer's response.  It does not assess the peers (`membership` does) and
+does not serve requests itself.  Its messages are advisory: safety does not depend on their
+delivery.
 """
 
 from sandladder.peers.heartbeats import HeartbeatExchange, LocalStatus
--- a/src/sandladder/peers/heartbeats.py
+++ b/src/sandladder/peers/heartbeats.py
@@ -1,4 +1,4 @@
-"""The heartbeats between controllers: what this one says in them, and what the others said."""
+"""The heartbeats between controllers: building this one's, and receiving the peers'."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -11,27 +11,28 @@
 from sandladder.state import StateCache
 from sandladder.transport import PeerHeartbeat
 
-# Cancelled jobs that one heartbeat names at the most, the latest; few ever have live tasks.
-_MAX_NAMED_CANCELLATIONS = 256
-# A peer counts as sending while its last heartbeat is younger than so many intervals.
-_SENDING_INTERVALS = 3
+# Upper bound on the cancelled jobs in a heartbeat; the latest ones are included.
+_MAX_CANCELLED_JOBS = 256
+# Age up to which a peer's last heartbeat counts as recent, in heartbeat intervals.
+_RECENT_HEARTBEAT_INTERVALS = 3
 
 
 @dataclass(frozen=True)
 class LocalStatus:
-    """What a heartbeat says of the services above this package, asked for whenever one is sent."""
+    """The status of the services above this package, read whenever a heartbeat is built."""
 
     fencing_token: Callable[[], int]
-    # Whether the state service answered of late.
+    # Returns whether the store has answered recently.
     store_reachable: Callable[[], bool]
-    # How many agents report here, at a time on the steady clock; None: it takes none.
+    # Returns the number of agents that report here at a time on the monotonic clock, or None if
+    # this controller accepts no agents.
     agents: Callable[[float], int | None]
-    # By controller, the latest of its clock readings that arrived here.
+    # Returns, by controller, its latest clock reading that has arrived here.
     acknowledged: Callable[[], dict[str, ClockReading]]
 
 
 class ClockExchange(Protocol):
-    """Takes in a peer's clock and what it acknowledges, for the guard of lease renewals."""
+    """Receives a peer's clock reading and acknowledgements, for the guard of lease renewals."""
 
     def __call__(
         self,
@@ -42,28 +43,28 @@
         now: float,
         /,
     ) -> None:
-        """A heartbeat arrived.
+        """Process the clock data of a heartbeat.
 
         Args:
-            node: its sender.
-            sent: when it was sent, on its sender's clock.
-            acknowledged: by controller, the latest of its clock readings that the sender received.
-            cancelled_jobs_complete: it names all cancelled jobs that its sender knows.
-            now: on this process's steady clock, in seconds.
+            node: the heartbeat's sender.
+            sent: when it was sent, on the sender's clock.
+            acknowledged: by controller, its latest clock reading that the sender received.
+            cancelled_jobs_complete: whether it lists all cancelled jobs that the sender knows.
+            now: on this process's monotonic clock, in seconds.
         """
 
 
 @dataclass
 class _PeerState:
-    """What a peer's heartbeats said last."""
+    """The contents of a peer's last heartbeat."""
 
-    heartbeat_at: float = float("-inf")  # when the last one arrived
-    demand: int = 0  # changes that wait for the state service there
-    schema_version: int = SCHEMA_V1  # the newest that it understands
+    heartbeat_at: float = float("-inf")  # when it arrived
+    demand: int = 0  # changes that wait for the store at the peer
+    schema_version: int = SCHEMA_V1  # the newest one that the peer supports
 
 
 class HeartbeatExchange:
-    """Makes this controller's heartbeats and takes in those of its peers."""
+    """Builds this controller's heartbeats and processes those of its peers."""
 
     def __init__(
         self,
@@ -80,20 +81,21 @@
         on_clock_exchange: ClockExchange,
         on_cancelled_jobs: Callable[[list[str]], None],
     ) -> None:
-        """Exchange heartbeats for one process of a controller.
+        """Create the exchange for one process of a controller.
 
         Args:
             node: the controller's name.
             process: distinguishes the controller's processes.
             peers: the other controllers.
-            interval_s: between two heartbeats at the most, in seconds.
-            cache: knows the cancelled jobs.
-            lease: this controller's own.
-            membership: takes in the peers' status.
-            write_rate: is updated with each heartbeat that is sent.
-            status: what heartbeats say of the services above.
-            on_clock_exchange: called with each heartbeat that arrives, first.
-            on_cancelled_jobs: called with the cancelled jobs that it names, each committed.
+            interval_s: the maximum interval between two heartbeats, in seconds.
+            cache: this process's cache of the records, with the cancelled jobs.
+            lease: this controller's lease.
+            membership: receives the peers' status.
+            write_rate: updated whenever a heartbeat is built.
+            status: the status of the services above this package.
+            on_clock_exchange: called with the clock data of each heartbeat, before anything else.
+            on_cancelled_jobs: called with the cancelled jobs in each heartbeat; their
+                cancellations are committed.
         """
         self._node = node
         self._process = process
@@ -107,10 +109,10 @@
         self._on_cancelled_jobs = on_cancelled_jobs
         self._peers = {name: _PeerState() for name in peers}
 
-    def make(self) -> PeerHeartbeat | None:
-        """The heartbeat to send now; None while another process of this name has fenced this one.
+    def build(self) -> PeerHeartbeat | None:
+        """Return the heartbeat to send now, or None while this process is fenced.
 
-        The share of the write rate is updated along the way.
+        Also updates the share of the write rate.
         """
         if self._lease.superseded:
             return None
@@ -131,12 +133,12 @@
             process=self._process,
             sent_at=now,
             acknowledged=self._status.acknowledged(),
-            cancelled_jobs=cancelled_jobs[-_MAX_NAMED_CANCELLATIONS:],
-            cancelled_jobs_complete=len(cancelled_jobs) <= _MAX_NAMED_CANCELLATIONS,
+            cancelled_jobs=cancelled_jobs[-_MAX_CANCELLED_JOBS:],
+            cancelled_jobs_complete=len(cancelled_jobs) <= _MAX_CANCELLED_JOBS,
         )
 
     def receive(self, heartbeat: PeerHeartbeat) -> None:
-        """Take in a heartbeat; one from a controller that the settings do not name is ignored."""
+        """Process a heartbeat; ignore it if its sender is not a peer in the settings."""
         peer = self._peers.get(heartbeat.node)
         if peer is None:
             return
@@ -164,25 +166,25 @@
         self._membership.receive_heartbeat(heartbeat.node, status)
 
     def outdated_peers(self) -> set[str]:
-        """The controllers that send heartbeats and understand only the first schema."""
+        """Return the peers that send heartbeats and support only the first schema."""
         now = clock.now()
         return {
             node
             for node, peer in self._peers.items()
-            if peer.schema_version == SCHEMA_V1 and self._is_sending(peer, now)
+            if peer.schema_version == SCHEMA_V1 and self._has_recent_heartbeat(peer, now)
         }
 
-    def understands(self, node: str, schema_version: int) -> bool:
-        """Whether a peer said that it understands this schema."""
+    def supports_schema(self, node: str, schema_version: int) -> bool:
+        """Return whether a peer has announced that it supports this schema."""
         peer = self._peers.get(node)
         return peer is not None and peer.schema_version >= schema_version
 
-    def _is_sending(self, peer: _PeerState, now: float) -> bool:
-        return now - peer.heartbeat_at < _SENDING_INTERVALS * self._interval_s
+    def _has_recent_heartbeat(self, peer: _PeerState, now: float) -> bool:
+        return now - peer.heartbeat_at < _RECENT_HEARTBEAT_INTERVALS * self._interval_s
 
     def _update_write_rate(self) -> None:
         now = clock.now()
         self._write_rate.update(
-            PeerDemand(node, peer.demand if self._is_sending(peer, now) else None)
+            PeerDemand(node, peer.demand if self._has_recent_heartbeat(peer, now) else None)
             for node, peer in self._peers.items()
         )
--- a/src/sandladder/peers/peer_service.py
+++ b/src/sandladder/peers/peer_service.py
@@ -1,4 +1,4 @@
-"""What passes between this controller and the others, by kind of message."""
+"""The messages between this controller and its peers."""
 
 from collections.abc import Awaitable, Callable, Sequence
 from dataclasses import dataclass
@@ -28,16 +28,16 @@
 
 @dataclass(frozen=True)
 class PeerEvents:
-    """What the services above this package do with the peers' messages."""
+    """Callbacks of the services above this package for the peers' messages."""
 
     on_machine_update: Callable[[MachineUpdate], None]
     on_ended_attempt: Callable[[EndedAttempt], None]
-    # Serves a forwarded request; never raises, and never forwards it again.
+    # Serves a forwarded request; it must not raise, and must not forward the request again.
     serve_request: Callable[[Request], Awaitable[Response]]
 
 
 class PeerService:
-    """The connections to the other controllers, and what is sent and received on them."""
+    """Owns the connections to the other controllers, and sends and receives messages on them."""
 
     def __init__(
         self,
@@ -56,22 +56,23 @@
         background: BackgroundTasks,
         events: PeerEvents,
     ) -> None:
-        """Prepare a connection to each peer; whoever listens runs them and calls `handle`.
+        """Create a connection to each peer; the caller runs them and calls `receive`.
 
         Args:
             node: the controller of this process.
             process: distinguishes the controller's processes.
             peers: the other controllers.
-            heartbeat_interval_s: between two heartbeats at the most, in seconds.
-            response_timeout_s: how long to wait for a peer that serves a request, in seconds.
-            rng: chooses among the peers that can serve.
-            cache: the records as this process knows them.
-            watch: woken when a peer has committed something.
-            membership: knows which peers can serve.
-            teams: knows the teams' assignees.
-            heartbeats: makes and takes in heartbeats.
-            background: serves forwarded requests.
-            events: what the services above do with messages.
+            heartbeat_interval_s: the maximum interval between two heartbeats, in seconds.
+            response_timeout_s: how long to wait for the response to a forwarded request, in
+                seconds.
+            rng: selects one of the peers that can serve.
+            cache: this process's cache of the records.
+            watch: woken when a peer has committed a change.
+            membership: provides the peers that can serve.
+            teams: provides the teams' assignees.
+            heartbeats: builds and processes heartbeats.
+            background: runs the forwarded requests.
+            events: callbacks of the services above this package.
         """
         self._rng = rng
         self._cache = cache
@@ -93,68 +94,68 @@
             serve=events.serve_request,
         )
 
-    # Who is responsible, and who can serve
+    # Team assignments and serving peers
 
     def live_nodes(self) -> list[str]:
-        """The controllers that take part."""
+        """Return the controllers that take part."""
         return self._teams.live_nodes()
 
     def is_assigned(self, team: str) -> bool:
-        """Whether starts of this team are this process's to commit now."""
+        """Return whether this process may commit starts of a team now."""
         return self._teams.is_assigned(team)
 
     def assignee(self, team: str) -> str:
-        """The controller that should learn of what concerns a team."""
+        """Return the controller that is responsible for a team."""
         return self._teams.assignee(team)
 
     def outdated_peers(self) -> set[str]:
-        """The controllers that send heartbeats and understand only the first schema."""
+        """Return the peers that send heartbeats and support only the first schema."""
         return self._heartbeats.outdated_peers()
 
     def find_serving_peer(self, schema_version: int = SCHEMA_V1) -> str | None:
-        """A peer that reaches the state service and understands this schema, if there is any."""
+        """Return a random peer that can serve and supports this schema, or None."""
         serving = [
             node
             for node in self._membership.serving_peers()
-            if self._heartbeats.understands(node, schema_version)
+            if self._heartbeats.supports_schema(node, schema_version)
         ]
         return self._rng.choice(serving) if serving else None
 
-    # What is sent
+    # Sending
 
     def heartbeat(self) -> PeerHeartbeat | None:
-        """The heartbeat to send now; None while this process is fenced."""
-        return self._heartbeats.make()
+        """Return the heartbeat to send now, or None while this process is fenced."""
+        return self._heartbeats.build()
 
     def announce_cancellations(self) -> None:
-        """A job was cancelled here: the other controllers are informed before its user is.
+        """Send heartbeats at once after a job was cancelled, before its user gets the response.
 
-        Whoever commands its tasks may be refused by the state service, and stops them all the same.
+        A controller that commands the job's tasks can then stop them even if it cannot read the
+        store.
         """
         for connection in self.connections.values():
             connection.flush()
 
     def notify(self, nodes: set[str]) -> None:
-        """Have those of these controllers that are peers read the changes now."""
+        """Notify the peers among these controllers that there are changes to read."""
         for node, connection in self.connections.items():
             if node in nodes:
                 connection.send(ChangeNotice(self._cache.revision))
 
     async def forward(self, request: Request, peer: str) -> Response:
-        """Have a peer serve a user's request, and wait for its response.
+        """Forward a user's request to a peer and return its response, or `BUSY` after a timeout.
 
-        `BUSY` if none has come in time.  Then, or cancelled, the peer may have served the request
-        all the same.
+        After a timeout or a cancellation the peer may still have served the request.
         """
         return await self.forwarder.forward(request, peer)
 
     def _send(self, node: str, message: ForwardedRequest | ForwardedResponse) -> None:
         self.connections[node].send(message)
 
-    # What happens
+    # Events
 
     def connection_changed(self, node: str, refused: bool) -> None:
-        """The connection to a peer was made, or could not be; a refusal is announced at once."""
+        """Record that a connection was made or refused; announce a refusal to the other peers."""
         self._membership.connection_changed(node, refused)
         if refused:
             for name, connection in self.connections.items():
@@ -162,7 +163,7 @@
                     connection.flush()
 
     def receive(self, message: Message) -> None:
-        """Take in a peer's message; a forwarded request is served in the background."""
+        """Process a peer's message; a forwarded request is served in the background."""
         match message:
             case PeerHeartbeat():
                 self._heartbeats.receive(message)
@@ -176,9 +177,9 @@
             case MachineUpdate():
                 self._events.on_machine_update(message)
             case EndedTasks():
-                self._receive_ends(message)
+                self._receive_ended_tasks(message)
 
-    def _receive_ends(self, message: EndedTasks) -> None:
+    def _receive_ended_tasks(self, message: EndedTasks) -> None:
         for end in message.ends:
             attempt = Attempt(end.machine, end.zone, end.session, end.attempt)
             self._events.on_ended_attempt(EndedAttempt(end.job, end.task, attempt, end.outcome))
--- a/src/sandladder/peers/request_forwarder.py
+++ b/src/sandladder/peers/request_forwarder.py
@@ -1,4 +1,4 @@
-"""Users' requests that another controller serves."""
+"""The forwarding of users' requests to other controllers."""
 
 from collections.abc import Awaitable, Callable
 
@@ -8,15 +8,15 @@
 from sandladder.protocol import job_messages
 from sandladder.transport import ForwardedRequest, ForwardedResponse, Request, Response
 
-# How many bits of a forwarded request's number count the requests; the rest identify the process.
-_COUNTER_BITS = 20
+# Low bits of a forwarded request's number that count the requests; the others are the process.
+_REQUEST_COUNTER_BITS = 20
 
-# The response when a request cannot be taken: come back soon.
+# The response when a request cannot be served now; the client is to retry.
 BUSY = Response(503, job_messages.error_body("cannot be taken now"), 1)
 
 
 class PendingResponse:
-    """The response to a request that is being served elsewhere."""
+    """The response to a forwarded request, once it has arrived."""
 
     def __init__(self) -> None:
         self.arrived = anyio.Event()
@@ -24,7 +24,7 @@
 
 
 class RequestForwarder:
-    """Forwards requests to peers, and serves those that peers forward."""
+    """Forwards requests to peers, and has the requests that peers forward served here."""
 
     def __init__(
         self,
@@ -36,15 +36,15 @@
         send: Callable[[str, ForwardedRequest | ForwardedResponse], None],
         serve: Callable[[Request], Awaitable[Response]],
     ) -> None:
-        """Forward for one process of a controller.
+        """Create a forwarder for one process of a controller.
 
         Args:
             node: the controller's name.
             process: distinguishes the controller's processes.
             timeout_s: how long to wait for a peer's response, in seconds.
-            background: serves the requests that peers forward.
+            background: runs the requests that peers forward.
             send: sends a message to a peer.
-            serve: serves a request here; never raises, and never forwards it.
+            serve: serves a request here; it must not raise, and must not forward the request.
         """
         self._node = node
         self._timeout_s = timeout_s
@@ -52,16 +52,15 @@
         self._send = send
         self._serve = serve
         self.pending: dict[int, PendingResponse] = {}  # by the request's number
-        # Numbers that no former process of this controller used: a peer may respond to what that
-        # one forwarded when this one has taken its place.  Seen in the simulation: a user was given
-        # the response about another user's job.
-        self._last_number = process << _COUNTER_BITS
+        # Numbers must differ from those of earlier processes of this controller: otherwise a late
+        # response to an earlier process's request would be returned to another user.
+        self._last_number = process << _REQUEST_COUNTER_BITS
 
     async def forward(self, request: Request, peer: str) -> Response:
-        """Have a peer serve a user's request, and wait for its response.
+        """Forward a user's request to a peer and return its response, or `BUSY` after a timeout.
 
-        `BUSY` if none has come in time.  Then, or cancelled, the peer may have served the request
-        all the same, and its response is dropped.
+        After a timeout or a cancellation the peer may still have served the request; its response
+        is dropped.
         """
         self._last_number += 1
         number = self._last_number
@@ -76,12 +75,12 @@
         return pending.response or BUSY
 
     def receive_request(self, request: ForwardedRequest) -> None:
-        """Serve a peer's request in the background; one that comes too early is dropped."""
+        """Serve a peer's request in the background; drop it if this process is not ready yet."""
         if self._background.running:
             self._background.start_soon(self._respond, request)
 
     def receive_response(self, response: ForwardedResponse) -> None:
-        """Take in a peer's response; one that nobody waits for any more is dropped."""
+        """Pass a peer's response to the waiting request; drop it if none waits."""
         pending = self.pending.pop(response.number, None)
         if pending is not None:
             pending.response = Response(response.status, response.body, response.retry_after)
--- a/src/sandladder/peers/team_directory.py
+++ b/src/sandladder/peers/team_directory.py
@@ -1,4 +1,4 @@
-"""Which controller schedules a team: by the roster, or under the first schema by a ring."""
+"""The controller that schedules each team: by the roster, or under the first schema by a ring."""
 
 from collections.abc import Sequence
 
@@ -8,7 +8,7 @@
 
 
 class TeamDirectory:
-    """Names the controller that is responsible for a team."""
+    """Looks up the controller that is responsible for a team."""
 
     def __init__(
         self,
@@ -18,14 +18,14 @@
         cache: StateCache,
         membership: MembershipService,
     ) -> None:
-        """Answer for one controller.
+        """Create the directory of one controller.
 
         Args:
             node: the controller of this process.
             nodes: all controllers of the settings, in order.
             teams: all teams of the settings, in order.
-            cache: the records as this process knows them.
-            membership: knows the members and their health.
+            cache: this process's cache of the records.
+            membership: provides the members and their health.
         """
         self._node = node
         self._nodes = nodes
@@ -34,10 +34,11 @@
         self._membership = membership
 
     def live_nodes(self) -> list[str]:
-        """The controllers that take part: by the roster, the same for all.
+        """Return the controllers that take part.
 
-        Under the first schema there is none; each controller goes by its own assessments then, and
-        a disagreement costs only a retry.
+        They are the members of the roster, which all controllers share.  The first schema has no
+        roster; each controller then uses its own assessments, and a disagreement only causes a
+        retry.
         """
         members = self._membership.members()
         if members:
@@ -47,13 +48,13 @@
         return [node for node in self._nodes if node == self._node or node in serving]
 
     def is_assigned(self, team: str) -> bool:
-        """Whether starts of this team are this process's to commit now."""
+        """Return whether this process may commit starts of a team now."""
         if self._cache.schema_version == SCHEMA_V1:
             return self._ring_assignee(team) == self._node
         return may_schedule(self._cache, team, self._membership.own)
 
     def assignee(self, team: str) -> str:
-        """The controller that should learn of what concerns a team."""
+        """Return the controller that is responsible for a team."""
         if self._cache.schema_version != SCHEMA_V1:
             assignee = self._membership.assignee(team)
             if assignee:
@@ -61,11 +62,11 @@
         return self._ring_assignee(team)
 
     def _ring_assignee(self, team: str) -> str:
-        """The first live controller on the ring, beginning at the team's position."""
-        first = self._teams.index(team) if team in self._teams else 0
+        """Return the first live controller on the ring, starting at the team's position."""
+        start = self._teams.index(team) if team in self._teams else 0
         live = set(self.live_nodes())
         for step in range(len(self._nodes)):
-            node = self._nodes[(first + step) % len(self._nodes)]
+            node = self._nodes[(start + step) % len(self._nodes)]
             if node in live:
                 return node
         return self._node
--- a/src/sandladder/peers/write_rate.py
+++ b/src/sandladder/peers/write_rate.py
@@ -1,34 +1,34 @@
-"""How the controllers divide the state service's write rate among them."""
+"""The division of the store's write rate among the controllers."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
 
 from sandladder.state import GroupCommitter, StateCache, StoreClient, StoreLimits
 
-# A controller is granted this part of a transaction though nothing waits in it.
+# An idle controller's demand is this fraction of a transaction, so that it can always write.
 _IDLE_DEMAND_DIVISOR = 4
 
 
 class PeerDemand(NamedTuple):
-    """What waits for the state service in a peer."""
+    """The number of changes that wait for the store at a peer."""
 
     node: str
-    changes: int | None  # None: it has sent no heartbeat of late
+    waiting_changes: int | None  # None if the peer has sent no heartbeat recently
 
 
 class WriteRateShare:
-    """Sets this controller's share of the write rate by what waits in each controller."""
+    """Sets this controller's share of the write rate in proportion to its demand."""
 
     def __init__(
         self, cache: StateCache, committer: GroupCommitter, limits: StoreLimits, store: StoreClient
     ) -> None:
-        """Set the share of `store`.
+        """Create a share for the client `store`.
 
         Args:
-            cache: knows which controllers live.
-            committer: knows what waits here.
-            limits: of the state service's transactions.
-            store: whose token bucket gets the share.
+            cache: this process's cache of the records, with the live controllers' inventories.
+            committer: provides this controller's demand.
+            limits: the store's limits on transactions.
+            store: the client whose token bucket gets the share.
         """
         self._cache = cache
         self._committer = committer
@@ -37,17 +37,17 @@
 
     @property
     def demand(self) -> int:
-        """How many puts and deletes wait here at most."""
+        """The maximum number of puts and deletes that wait at this controller."""
         return self._committer.demand
 
     def update(self, peers: Iterable[PeerDemand]) -> None:
-        """Set the share by what waits in the peers, and here."""
-        idle = self._limits.txn_ops / _IDLE_DEMAND_DIVISOR
-        own = idle + self._committer.demand
-        total = own
-        for node, changes in peers:
-            if changes is not None:
-                total += idle + changes
+        """Set the share from the demand of the peers and of this controller."""
+        idle_demand = self._limits.txn_ops / _IDLE_DEMAND_DIVISOR
+        own_demand = idle_demand + self._committer.demand
+        total_demand = own_demand
+        for node, waiting_changes in peers:
+            if waiting_changes is not None:
+                total_demand += idle_demand + waiting_changes
             elif node in self._cache.inventories:
-                total += own  # it lives, and its demand is unknown: it may need as much
-        self._store.writes.share = own / total
+                total_demand += own_demand  # alive, but its demand is unknown
+        self._store.writes.share = own_demand / total_demand
