--- a/tests/membership/cluster.py
+++ b/tests/membership/cluster.py
@@ -1,4 +1,4 @@
-"""Controllers reduced to membership, with a store and heartbeats, in virtual time: quick to run.
+"""A fast simulation of membership alone: controllers, a store and heartbeats in virtual time.
 
 Failure detectors, policies, transitions, transactions and caches are the real ones; leases, watches
 and connections are simulated.  Faults are set between two steps.
@@ -30,16 +30,16 @@
     schema_version_value,
 )
 
-# In seconds: between an agent's heartbeats, between a controller's, a controller's lease, a step of
-# virtual time, and how long a controller takes to restart.
+# In seconds: an agent's heartbeat interval, a controller's heartbeat interval, a controller's lease,
+# a step of virtual time, and a controller's restart.
 REPORT_S, HEARTBEAT_S, LEASE_S, STEP_S, RESTART_S = 2.4, 0.4, 24.0, 0.1, 3.0
-# How often a controller reads the store, in seconds.
-READ_S = 0.15
-VALUE_BYTES, MAX_OPERATIONS = 8e3, 12
+# The interval between two reads of the store, in seconds.
+READ_INTERVAL_S = 0.15
+MAX_VALUE_BYTES, MAX_OPERATIONS = 8e3, 12
 
 
 class Store:
-    """The state service: versions, conditional transactions, the history of changes."""
+    """The key-value store: versions, compare-and-swap transactions, the history of changes."""
 
     def __init__(self) -> None:
         self.revision = 1
@@ -51,7 +51,7 @@
         ]
 
     def commit(self, transaction: Transaction) -> bool:
-        """Apply a transaction; False if a version is not the expected one."""
+        """Apply a transaction; return False if a version is not the expected one."""
         if any(self.items.get(k, (0, 0))[1] != v for k, v in transaction.expected_versions.items()):
             return False
         self.revision += 1
@@ -60,7 +60,7 @@
         return True
 
     def set(self, key: str, value: Any) -> None:
-        """Put a value, or delete the key for None."""
+        """Put a value, or delete the key if the value is None."""
         if value is None:
             self.items.pop(key, None)
         else:
@@ -69,20 +69,20 @@
 
 
 class SimulatedController:
-    """One process of a controller, as far as membership goes."""
+    """The membership part of one controller process."""
 
     def __init__(self, cluster: "Cluster", name: str) -> None:
         self.cluster, self.name = cluster, name
         self.cache = StateCache()
-        self.position = 0  # how much of the store's history the cache holds
+        self.position = 0  # number of changes in the store's history that the cache holds
         peers = [other for other in cluster.names if other != name]
         detector = FailureDetector(name, peers, HEARTBEAT_S, REPORT_S, REPORT_S)
         self.policy = MembershipPolicy(detector, cluster.names, cluster.teams, self.cache)
         self.renewed_at = cluster.now
         self.next_heartbeat = self.next_inventory = self.next_read = cluster.now
         self.next_decision = cluster.now
-        self.inventories: dict[str, MachineInventory] = {}
-        self.members: dict[str, Member] = {}
+        self.seen_inventories: dict[str, MachineInventory] = {}
+        self.seen_roster: dict[str, Member] = {}
         self.read()
         self.own = TeamAssignment(name, self.cache.fencing_token + 1)
         transaction = Transaction(self.cache)
@@ -93,19 +93,19 @@
         self.write_inventory()
 
     def read(self) -> None:
-        """Bring the cache up to date, and note who wrote something."""
+        """Update the cache, and record which controllers wrote something."""
         history = self.cluster.store.history
         self.cache.apply(self.cluster.store.revision, history[self.position :])
         self.position = len(history)
         detector, now = self.policy.detector, self.cluster.now
         for node, inventory in self.cache.inventories.items():
-            if self.inventories.get(node) is not inventory:
-                self.inventories[node] = inventory
+            if self.seen_inventories.get(node) is not inventory:
+                self.seen_inventories[node] = inventory
                 detector.record_write(node, now)
-        before, self.members = self.members, self.cache.roster
-        for node, member in self.members.items():
-            known = before.get(node)
-            if known is None or member[:2] > known[:2]:
+        old_roster, self.seen_roster = self.seen_roster, self.cache.roster
+        for node, member in self.seen_roster.items():
+            previous = old_roster.get(node)
+            if previous is None or member[:2] > previous[:2]:
                 detector.record_write(node, now)
 
     def write_inventory(self) -> None:
@@ -115,30 +115,30 @@
         inventory = MachineInventory(
             self.own.incarnation, 1.0, self.cache.revision, {}, SCHEMA_V2, self.own.incarnation
         )
-        changes = inventory_changes(transaction, self.name, inventory, VALUE_BYTES)
+        changes = inventory_changes(transaction, self.name, inventory, MAX_VALUE_BYTES)
         put_inventory(transaction, self.name, changes, 1, MAX_OPERATIONS)
         assert self.cluster.store.commit(transaction)
         self.renewed_at = self.cluster.now
 
     def step(self) -> None:
-        """What this controller does by now, late if it is slow."""
+        """Do the work that is due, late if the controller is slow."""
         cluster, now = self.cluster, self.cluster.now
-        reaches = self.name not in cluster.without_store
+        store_reachable = self.name not in cluster.without_store
         alive = now - self.renewed_at < LEASE_S
-        if reaches and now >= self.next_read:
-            self.next_read = now + READ_S
+        if store_reachable and now >= self.next_read:
+            self.next_read = now + READ_INTERVAL_S
             self.read()
-        if reaches and now >= self.next_inventory:
+        if store_reachable and now >= self.next_inventory:
             self.next_inventory = now + REPORT_S
             self.write_inventory()
         if now >= self.next_heartbeat:
             self.next_heartbeat = now + HEARTBEAT_S
-            self.send_heartbeat(reaches and alive)
+            self.send_heartbeat(store_reachable and alive)
         if now >= self.next_decision + cluster.late_s.get(self.name, 0.0):
             self.policy.detector.record_wakeup(now - self.next_decision, now)
             self.next_decision = now + HEARTBEAT_S / 2
             for change in self.policy.decide(now, now, self.own if alive else None):
-                if reaches:
+                if store_reachable:
                     self.commit(change)
 
     def send_heartbeat(self, store_reachable: bool) -> None:
@@ -155,20 +155,20 @@
         self.cluster.send(self.name, status)
 
     def commit(self, change: MembershipChange) -> None:
-        """Commit a change, unless the records refute it."""
+        """Commit a change, unless the records have changed since it was decided."""
         transaction = Transaction(self.cache)
         try:
             transition = self.policy.transition(change, self.cache, self.own, self.cluster.now)
-            useful = roster_transitions.write(transaction, transition, MAX_OPERATIONS)
+            is_change = roster_transitions.write(transaction, transition, MAX_OPERATIONS)
         except PreconditionFailedError:
             return
-        if useful and self.cluster.store.commit(transaction):
+        if is_change and self.cluster.store.commit(transaction):
             self.cluster.changes.append((self.cluster.now, self.name, change))
             self.read()
 
 
 class Cluster:
-    """The controllers together, in steps of virtual time."""
+    """All controllers and the store, advanced in steps of virtual time."""
 
     def __init__(self, count: int, teams: int, seed: int = 1) -> None:
         self.rng = Random(seed)
@@ -179,9 +179,9 @@
         self.nodes: dict[str, SimulatedController] = {}
         self.restarts_at: dict[str, float] = {}
         self.paused: set[str] = set()
-        self.late_s: dict[str, float] = {}  # how late its routines are woken
+        self.late_s: dict[str, float] = {}  # how late a controller's timers fire
         self.without_store: set[str] = set()
-        self.lost_links: set[tuple[str, str]] = set()  # heartbeats do not arrive, one way
+        self.lost_links: set[tuple[str, str]] = set()  # heartbeats from the first one are lost
         self.refused_links: set[frozenset[str]] = set()  # connections between the two are refused
         self.in_flight: list[tuple[float, str, str, PeerStatus]] = []
         self.changes: list[tuple[float, str, MembershipChange]] = []
@@ -194,13 +194,13 @@
         self.nodes[name] = SimulatedController(self, name)
 
     def crash(self, name: str, for_s: float = RESTART_S) -> None:
-        """End a controller's process; the next one starts after so many seconds."""
+        """Crash a controller's process; the next one starts after `for_s` seconds."""
         if self.nodes.pop(name, None) is not None:
             self._crashed_at[name] = self.now
         self.restarts_at[name] = self.now + for_s
 
     def send(self, name: str, status: PeerStatus) -> None:
-        """Send a heartbeat to all others."""
+        """Send a heartbeat to all other controllers."""
         for other in self.names:
             refused = frozenset((name, other)) in self.refused_links
             if other != name and (name, other) not in self.lost_links and not refused:
@@ -208,7 +208,7 @@
                 self.in_flight.append((arrives_at, name, other, status))
 
     def step(self) -> None:
-        """Let all do what they do in one step of virtual time."""
+        """Advance by one step of virtual time."""
         self.now += STEP_S
         for name, at in list(self.restarts_at.items()):
             if at <= self.now:
@@ -222,8 +222,8 @@
             for other in self.names:
                 if other != name:
                     refused = frozenset((name, other)) in self.refused_links
-                    gone = other not in self.nodes or refused
-                    node.policy.detector.record_connection(other, gone)
+                    unreachable = other not in self.nodes or refused
+                    node.policy.detector.record_connection(other, unreachable)
             node.step()
 
     def _deliver(self) -> None:
@@ -231,7 +231,7 @@
         self.in_flight = [item for item in self.in_flight if item[0] > self.now]
         for _, name, other, status in arrived:
             node = self.nodes.get(other)
-            # What arrives at one that is paused is taken in when it goes on.
+            # A paused controller processes heartbeats when it resumes.
             if node is not None and other in self.paused:
                 self.in_flight.append((self.now, name, other, status))
             elif node is not None:
@@ -246,14 +246,14 @@
                 self.store.set(INVENTORY_PREFIX + name, None)
 
     def run(self, seconds: float, check: Callable[[], None] = lambda: None) -> None:
-        """Go on for so long, with a check after each step."""
+        """Advance by some seconds, with a check after each step."""
         end = self.now + seconds
         while self.now < end:
             self.step()
             check()
 
     def heal(self) -> None:
-        """End all faults but crashes."""
+        """End all faults except crashes."""
         self.lost_links.clear()
         self.refused_links.clear()
         self.without_store.clear()
@@ -261,24 +261,24 @@
         self.late_s.clear()
 
     def assignments(self) -> dict[str, TeamAssignment]:
-        """The process to which each team is assigned by the records."""
+        """Return the process to which each team is assigned in the records."""
         cache = StateCache()
         cache.apply(self.store.revision, self.store.history)
         return cache.assignments
 
     def position(self) -> int:
-        """The present position in the store's history, to count moves from."""
+        """Return the current position in the store's history, from which to count moves."""
         return len(self.store.history)
 
     def moves(self, position: int) -> dict[str, int]:
-        """How often each team went from one controller to another since a position."""
-        found = dict.fromkeys(self.teams, 0)
+        """Return how often each team moved to another controller since a position."""
+        counts = dict.fromkeys(self.teams, 0)
         last: dict[str, str] = {}
         for index, (key, value, _) in enumerate(self.store.history):
             team = key.removeprefix(TEAM_PREFIX)
             if team == key:
                 continue
             node = read_team(value).node  # type: ignore[union-attr]
-            found[team] += index >= position and last.get(team, node) != node
+            counts[team] += index >= position and last.get(team, node) != node
             last[team] = node
-        return found
+        return counts
--- a/tests/membership/test_crash_points.py
+++ b/tests/membership/test_crash_points.py
@@ -1,6 +1,6 @@
-"""A controller crashes at the very point at which work of it is in progress; others complete it.
+"""Crashes of a controller at each step of its work; the other controllers must complete it.
 
-Each point is one line of the table in docs/membership.md.
+Each point is one row of the table in docs/membership.md.
 """
 
 from collections.abc import Callable
@@ -14,51 +14,51 @@
 from simulation import SimulatedCluster, job, now, run
 from simulation.workloads import wait_until_healthy
 
-# Whether a request is the point at which its source, or else its target, crashes.  The arguments are
-# "before" or "after" it is served, its source, its target and the request.
-Point = Callable[[str, str, str, Request], bool]
+# Returns whether a controller crashes at a request: its source, or else its target.  The arguments
+# are "before" or "after" (the request is served), its source, its target and the request.
+CrashPoint = Callable[[str, str, str, Request], bool]
 
 
-def _records(request: Request) -> list[Any]:
-    """The jobs' records that a commit writes."""
+def _job_records(request: Request) -> list[Any]:
+    """Return the job records that a commit writes."""
     if request.path != "/commit":
         return []
     changes = cbor2.loads(request.body)["apply"]
     return [c["v"] for c in changes if c.get("put", "").startswith("s/j/job-")]
 
 
-def _job(value: Any) -> bool:
+def _is_job_record(value: Any) -> bool:
     return isinstance(value, dict) and "s" in value
 
 
 def start_committed(when: str, source: str, target: str, request: Request) -> bool:
-    return when == "after" and any(_job(v) and v.get("l") for v in _records(request))
+    return when == "after" and any(_is_job_record(v) and v.get("l") for v in _job_records(request))
 
 
 def start_not_committed(when: str, source: str, target: str, request: Request) -> bool:
-    return when == "before" and any(_job(v) and v.get("l") for v in _records(request))
+    return when == "before" and any(_is_job_record(v) and v.get("l") for v in _job_records(request))
 
 
 def end_committed(when: str, source: str, target: str, request: Request) -> bool:
-    return when == "after" and any(not _job(v) for v in _records(request))
+    return when == "after" and any(not _is_job_record(v) for v in _job_records(request))
 
 
-def _commands(request: Request, verb: str) -> bool:
+def _has_command(request: Request, verb: str) -> bool:
     return request.path == "/do" and any(
         command["verb"] == verb for command in cbor2.loads(request.body)["orders"]
     )
 
 
 def run_sent(when: str, source: str, target: str, request: Request) -> bool:
-    return when == "before" and _commands(request, "run")
+    return when == "before" and _has_command(request, "run")
 
 
-def run_carried_out(when: str, source: str, target: str, request: Request) -> bool:
-    return when == "after" and _commands(request, "run")
+def run_delivered(when: str, source: str, target: str, request: Request) -> bool:
+    return when == "after" and _has_command(request, "run")
 
 
 def halt_sent(when: str, source: str, target: str, request: Request) -> bool:
-    return when == "before" and _commands(request, "halt")
+    return when == "before" and _has_command(request, "halt")
 
 
 def exit_reported(when: str, source: str, target: str, request: Request) -> bool:
@@ -67,44 +67,46 @@
     return any(e["standing"] == "exited" for e in cbor2.loads(request.body)["entries"])
 
 
-def submission_taken(when: str, source: str, target: str, request: Request) -> bool:
-    return when == "after" and any(_job(v) and not v.get("l") for v in _records(request))
+def submission_committed(when: str, source: str, target: str, request: Request) -> bool:
+    return when == "after" and any(
+        _is_job_record(v) and not v.get("l") for v in _job_records(request)
+    )
 
 
 def machines_rented(when: str, source: str, target: str, request: Request) -> bool:
     return when == "after" and request.path == "/machines"
 
 
-POINTS: list[Point] = [
+CRASH_POINTS: list[CrashPoint] = [
     start_not_committed,
     start_committed,
     end_committed,
     run_sent,
-    run_carried_out,
+    run_delivered,
     halt_sent,
     exit_reported,
-    submission_taken,
+    submission_committed,
     machines_rented,
 ]
 
 
-@pytest.mark.parametrize("point", POINTS, ids=lambda p: p.__name__)
-def test_work_in_progress_at_a_crash_is_completed_by_others(point: Point) -> None:
-    cluster = SimulatedCluster(80 + POINTS.index(point))
+@pytest.mark.parametrize("point", CRASH_POINTS, ids=lambda p: p.__name__)
+def test_work_in_progress_at_a_crash_is_completed_by_other_controllers(point: CrashPoint) -> None:
+    cluster = SimulatedCluster(80 + CRASH_POINTS.index(point))
     crashes: list[tuple[float, str]] = []  # when, and of which controller
-    # The first few times are passed over, so that there is work in progress.
-    skip = cluster.rng.randrange(4)
+    # Skip the first occurrences, so that there is work in progress.
+    occurrences_to_skip = cluster.rng.randrange(4)
     web = job(900, form="service", entries=2, rank="prod", docket="web", loaners=False)
 
-    def trap(when: str, source: str, target: str, request: Request) -> None:
-        nonlocal skip
+    def crash_at_point(when: str, source: str, target: str, request: Request) -> None:
+        nonlocal occurrences_to_skip
         if len(crashes) >= 3 or not point(when, source, target, request):
             return
         node = source if source.startswith("node-") else target
         if not node.startswith("node-") or node not in cluster.nodes:
             return
-        skip -= 1
-        if skip < 0 and (not crashes or now() - crashes[-1][0] > 12.0):
+        occurrences_to_skip -= 1
+        if occurrences_to_skip < 0 and (not crashes or now() - crashes[-1][0] > 12.0):
             crashes.append((now(), node))
             cluster.crash(int(node[-1]))
 
@@ -118,7 +120,7 @@
 
     async def main() -> None:
         await wait_until_healthy(cluster)
-        cluster.network.on_request = trap
+        cluster.network.on_request = crash_at_point
         cluster.network.start(restart)
         ids = [f"job-{n:06d}" for n in range(10)]
         await cluster.submit(web)
@@ -126,9 +128,9 @@
             cluster.network.tasks.start_soon(cluster.submit, job(number, entries=4, expect_s=4.0))
             await anyio.sleep(3.0)
             if number % 4 == 2:
-                up = [w for w, t in cluster.present() if t.name.startswith(web["id"])]
-                if up:  # its replicas are to move: stops are in progress
-                    up[0].notice_until = now() + 12.0
+                machines = [w for w, t in cluster.present() if t.name.startswith(web["id"])]
+                if machines:  # the replica must move, so that a stop is in progress
+                    machines[0].notice_until = now() + 12.0
         assert not await cluster.until_done(ids, 150.0)
         assert await cluster.cancel(web["id"]) == "cancelled"
         await anyio.sleep(45.0)
@@ -138,14 +140,13 @@
     run(cluster, main)
     assert cluster.violations == []
     assert crashes, "the point was never reached"
-    # Nothing is started twice without need: each task ran as often as its machine or its
-    # controller was lost, and no more.
+    # No task is started again unless its machine or controller was lost.
     tasks = [name for name in cluster.starts if not name.startswith(web["id"])]
     assert sum(cluster.starts[name] for name in tasks) <= len(tasks) + 4
 
 
 def test_a_cancellation_committed_before_a_crash_is_completed() -> None:
-    """The controller that committed it crashes before any machine, or the user, learns of it."""
+    """The controller that committed it crashes before it informs any machine or the user."""
     cluster = SimulatedCluster(95)
 
     async def main() -> None:
@@ -155,18 +156,20 @@
         while len(cluster.present()) < 6:
             await anyio.sleep(0.5)
 
-        def trap(when: str, source: str, target: str, request: Request) -> None:
-            if when == "after" and any(_job(v) and v.get("c") for v in _records(request)):
+        def crash_at_point(when: str, source: str, target: str, request: Request) -> None:
+            if when == "after" and any(
+                _is_job_record(v) and v.get("c") for v in _job_records(request)
+            ):
                 cluster.network.on_request = None
                 cluster.crash(int(source[-1]))
 
-        cluster.network.on_request = trap
-        asked = now()
+        cluster.network.on_request = crash_at_point
+        cancelled_at = now()
         assert await cluster.cancel(spec["id"]) == "cancelled"
         assert cluster.network.on_request is None
         while cluster.present():
             await anyio.sleep(0.5)
-        assert now() - asked < 20.0
+        assert now() - cancelled_at < 20.0
 
     run(cluster, main)
     assert cluster.violations == []
--- a/tests/membership/test_failure_detector.py
+++ b/tests/membership/test_failure_detector.py
@@ -1,4 +1,4 @@
-"""The failure detector: suspicion from intervals, and assessments from evidence."""
+"""The failure detector: phi accrual, and assessments from evidence."""
 
 from random import Random
 
@@ -17,7 +17,7 @@
 
 
 def status(**fields: object) -> PeerStatus:
-    """A healthy controller's status, but for these fields."""
+    """Return a healthy controller's status, with some fields replaced."""
     healthy = PeerStatus(
         incarnation=1,
         fencing_token=1,
@@ -30,12 +30,12 @@
     return healthy._replace(**fields)  # type: ignore[arg-type]
 
 
-def observing_b(silent_s: float, refused: bool = False, **fields: object) -> PeerStatus:
-    """The status of a controller that observes this of `b`."""
+def status_observing_b(silent_s: float, refused: bool = False, **fields: object) -> PeerStatus:
+    """Return the status of a controller with this observation of `b`."""
     return status(observations={"b": LinkObservation(silent_s, refused)}, **fields)
 
 
-def detector_of(node: str, peers: list[str], lease_holders: list[str]) -> FailureDetector:
+def make_detector(node: str, peers: list[str], lease_holders: list[str]) -> FailureDetector:
     detector = FailureDetector(node, peers, HEARTBEAT_S, REPORT_S, REPORT_S)
     detector.record_leases(lease_holders)
     return detector
@@ -44,7 +44,7 @@
 def send_heartbeats(
     detector: FailureDetector, until: float, statuses: dict[str, PeerStatus]
 ) -> float:
-    """Regular heartbeats of these controllers up to a time; when the last ones came."""
+    """Record regular heartbeats up to a time; return the time of the last ones."""
     now = 0.0
     while now < until:
         now += HEARTBEAT_S
@@ -53,8 +53,8 @@
     return now
 
 
-def test_suspicion_follows_the_links_own_intervals() -> None:
-    """The same silence is suspicious on a link that is regular, and not on one that is not."""
+def test_suspicion_depends_on_the_intervals_of_the_link() -> None:
+    """The same silence is suspicious on a regular link, and not on one with jitter."""
     levels = []
     for jitter in (0.02, 0.5):
         rng, window, now = Random(1), PhiAccrualWindow(HEARTBEAT_S), 0.0
@@ -66,15 +66,15 @@
         assert window.phi(now + 1.0) > window.phi(now + 1.0, health_multiplier=2.0)
         levels.append(window.phi(now + 1.1))
     assert levels[0] > 8.0 > 5.0 > levels[1]
-    # An outage is no sample: the next one is noticed as soon.
+    # An outage is not a sample, so that the next one is detected as quickly.
     window.record_arrival(now + 30.0)
     assert window.phi(now + 32.0) == pytest.approx(window.phi(now + 32.0 + 1e-9), abs=1e-3)
     assert window.mean_s < 2 * HEARTBEAT_S
 
 
-def test_an_assessment_names_the_evidence_for_it() -> None:
-    detector = detector_of("a", ["b", "c", "d"], lease_holders=["b", "c"])
-    now = send_heartbeats(detector, 20.0, {"b": status(), "c": observing_b(0.1)})
+def test_an_assessment_follows_from_its_evidence() -> None:
+    detector = make_detector("a", ["b", "c", "d"], lease_holders=["b", "c"])
+    now = send_heartbeats(detector, 20.0, {"b": status(), "c": status_observing_b(0.1)})
     assert detector.assess("b", now).level is HealthLevel.HEALTHY
     assert detector.assess("d", now).level is HealthLevel.EXPIRED
     detector.record_heartbeat("b", status(late_s=1.0), now)
@@ -84,37 +84,45 @@
     detector.record_heartbeat("b", status(leaving=True), now)
     assert detector.assess("b", now).level is HealthLevel.LEAVING
     detector.record_write("b", now)
-    # Its heartbeats stop arriving here; they arrive at c, then not there either.
+    # b's heartbeats no longer arrive here; they still arrive at c, and later not there either.
     for step in range(1, 9):
         at = now + step * HEARTBEAT_S
-        detector.record_heartbeat("c", observing_b(0.1), at)
-    found = detector.assess("b", at)
-    assert found.level is HealthLevel.PARTITIONED
-    assert found.evidence == "c receives its heartbeats"
+        detector.record_heartbeat("c", status_observing_b(0.1), at)
+    assessment = detector.assess("b", at)
+    assert assessment.level is HealthLevel.PARTITIONED
+    assert assessment.evidence == "c receives its heartbeats"
     for step in range(9, 13):
         at = now + step * HEARTBEAT_S
-        detector.record_heartbeat("c", observing_b(step * HEARTBEAT_S), at)
-    found = detector.assess("b", at)
-    assert found.level is HealthLevel.SUSPECT and found.witnesses == 2 and not found.all_refused
-    assert found.silent_s == pytest.approx(12 * HEARTBEAT_S, abs=0.5)
+        detector.record_heartbeat("c", status_observing_b(step * HEARTBEAT_S), at)
+    assessment = detector.assess("b", at)
+    assert (
+        assessment.level is HealthLevel.SUSPECT
+        and assessment.witnesses == 2
+        and not assessment.all_refused
+    )
+    assert assessment.silent_s == pytest.approx(12 * HEARTBEAT_S, abs=0.5)
     # A witness that is late itself does not count.
-    detector.record_heartbeat("c", observing_b(9.0, late_s=2.0), at)
+    detector.record_heartbeat("c", status_observing_b(9.0, late_s=2.0), at)
     assert detector.assess("b", at).witnesses == 1
-    # What it writes speaks for it, until its next inventory is overdue.
+    # A write shows that b is alive, until its next inventory is overdue.
     detector.record_write("b", at)
     assert detector.assess("b", at).level is HealthLevel.PARTITIONED
     later = at + 3 * REPORT_S
-    detector.record_heartbeat("c", observing_b(20.0, refused=True), later)
+    detector.record_heartbeat("c", status_observing_b(20.0, refused=True), later)
     detector.record_connection("b", True)
     for _ in range(3):
         detector.record_agent_failover("b", later)
-    found = detector.assess("b", later)
-    assert found.level is HealthLevel.SUSPECT and found.witnesses == 4 and found.all_refused
+    assessment = detector.assess("b", later)
+    assert (
+        assessment.level is HealthLevel.SUSPECT
+        and assessment.witnesses == 4
+        and assessment.all_refused
+    )
 
 
 def test_the_evidence_that_the_roster_stores_keeps_its_wording() -> None:
-    """Other versions and operators' tools read it."""
-    detector = detector_of("a", ["b", "c", "d"], lease_holders=["b", "c"])
+    """Other versions and operators' tools read these texts."""
+    detector = make_detector("a", ["b", "c", "d"], lease_holders=["b", "c"])
     now = send_heartbeats(detector, 20.0, {"b": status(), "c": status()})
     assert detector.assess("d", now).evidence == "it holds nothing in the state service"
     detector.record_heartbeat("b", status(store_reachable=False), now)
@@ -122,21 +130,21 @@
     detector.record_heartbeat("b", status(leaving=True), now)
     assert detector.assess("b", now).evidence == "it says that it goes"
     later = now + 8.0
-    detector.record_heartbeat("c", observing_b(8.0), later)
+    detector.record_heartbeat("c", status_observing_b(8.0), later)
     for _ in range(3):
         detector.record_agent_failover("b", later)
     assert detector.assess("b", later).evidence == (
         "not heard for 8.0 s, c not for 8.0 s, its summary is overdue, 3 machines came over"
     )
-    detector.record_heartbeat("c", observing_b(8.0, refused=True), later)
+    detector.record_heartbeat("c", status_observing_b(8.0, refused=True), later)
     detector.record_connection("b", True)
     assert detector.assess("b", later).evidence == (
         "we were refused, c was refused, its summary is overdue, 3 machines came over"
     )
 
 
-def test_a_process_that_was_paused_suspects_nobody() -> None:
-    detector = detector_of("a", ["b", "c"], lease_holders=["b", "c"])
+def test_a_process_that_was_paused_suspects_no_peer() -> None:
+    detector = make_detector("a", ["b", "c"], lease_holders=["b", "c"])
     now = send_heartbeats(detector, 20.0, {"b": status(), "c": status()})
     now += 12.0
     assert detector.assess("b", now).level is HealthLevel.SUSPECT
--- a/tests/membership/test_roster_state_space.py
+++ b/tests/membership/test_roster_state_space.py
@@ -1,8 +1,8 @@
-"""A small model of the roster and one team's record, searched exhaustively to a stated depth.
+"""Exhaustive search, to a bounded depth, of a model of the roster and one team's record.
 
-Three controllers with caches of the records that may be old, transactions that arrive late or
-whose answers are lost, ends, restarts, and suspicions that need no reason at all.  Everything that
-changes the records goes through `sandladder.membership.roster_transitions`.
+The model has three controllers with stale caches, delayed transactions, lost responses, crashes,
+restarts, and unfounded suspicions.  All changes of the records are made by
+`sandladder.membership.roster_transitions`.
 """
 
 import contextlib
@@ -21,211 +21,236 @@
 
 
 class Store(NamedTuple):
-    """The records as the state service holds them, or as a cache does."""
+    """The records in the store or in a controller's cache."""
 
-    roster_at: int  # the version of the roster
+    roster_version: int
     roster: tuple[tuple[str, Member], ...]
-    team_at: int
+    team_version: int
     assignment: TeamAssignment
-    used: int  # starts of the team that were committed
+    starts: int  # committed starts of the team
 
     @property
     def records(self) -> RosterRecords:
         return RosterRecords(dict(self.roster), {TEAM: self.assignment})
 
 
-class Sent(NamedTuple):
-    """A transaction under way, with what it rests on."""
+class InFlight(NamedTuple):
+    """A transaction in flight, with the versions that it expects."""
 
-    roster_at: int | None
-    team_at: int | None
+    roster_version: int | None
+    team_version: int | None
     roster: tuple[tuple[str, Member], ...] | None
     assignment: TeamAssignment | None
     start: bool
-    by: tuple[str, int]
+    sender: tuple[str, int]
 
 
 class Node(NamedTuple):
-    """A controller: its process's incarnation, its cache, and what it has sent."""
+    """A controller: its process's incarnation, its cache, and its transaction in flight."""
 
     alive: bool
     incarnation: int
     cache: Store
-    sent: Sent | None = None
-    in_doubt: int = 0  # the version of the team's record that a start without an answer rests on
+    in_flight: InFlight | None = None
+    # The version of the team's record that a start without a response expects.
+    unresolved_version: int = 0
 
 
-class World(NamedTuple):
+class SystemState(NamedTuple):
     store: Store
     nodes: tuple[Node, ...]
-    late: frozenset[Sent]  # sent by somebody who no longer waits for it
+    delayed: frozenset[InFlight]  # their senders no longer wait for them
     incarnations: int
     faults: int
 
 
-def initial_world() -> World:
+def initial_state() -> SystemState:
     members = tuple((n, Member(i + 1, 0, IN, 0.0, 0, "")) for i, n in enumerate(NODES))
     store = Store(1, members, 1, TeamAssignment("a", 1), 0)
-    return World(store, tuple(Node(True, i + 1, store) for i in range(3)), frozenset(), 3, 0)
+    return SystemState(store, tuple(Node(True, i + 1, store) for i in range(3)), frozenset(), 3, 0)
 
 
-def apply(store: Store, sent: Sent) -> Store:
-    """The state service takes a transaction, or refuses it."""
-    if sent.roster_at not in (None, store.roster_at) or sent.team_at not in (None, store.team_at):
+def apply(store: Store, in_flight: InFlight) -> Store:
+    """Return the store after it has applied or refused a transaction."""
+    if in_flight.roster_version not in (
+        None,
+        store.roster_version,
+    ) or in_flight.team_version not in (None, store.team_version):
         return store
-    if sent.roster is not None:
-        store = store._replace(roster=sent.roster, roster_at=store.roster_at + 1)
-    if sent.assignment is not None:
-        store = store._replace(assignment=sent.assignment, team_at=store.team_at + 1)
-    return store._replace(used=store.used + sent.start)
+    if in_flight.roster is not None:
+        store = store._replace(roster=in_flight.roster, roster_version=store.roster_version + 1)
+    if in_flight.assignment is not None:
+        store = store._replace(assignment=in_flight.assignment, team_version=store.team_version + 1)
+    return store._replace(starts=store.starts + in_flight.start)
 
 
 class Defects(NamedTuple):
-    """What may be planted, to see that the search finds it."""
+    """Defects that can be injected to check that the search finds them."""
 
-    unbound: bool = False  # a start does not rest on the team's record
-    forgetful: bool = False  # a start without an answer is not made harmless before the next
-    hasty: bool = False  # it is made harmless by the next start, not before that
-    nameless: bool = False  # a new process of a controller goes on with its old one's teams
+    unconditional_start: bool = False  # a start does not expect a version of the team's record
+    # The team's record is not rewritten after a start without a response.
+    unresolved_start_ignored: bool = False
+    # It is rewritten by the next start instead of before it.
+    unresolved_start_combined: bool = False
+    # A new process of a controller keeps the teams of the previous one without claiming them.
+    incarnation_ignored: bool = False
 
 
-def start(node: Node, name: str, defects: Defects) -> Sent | None:
-    """The start that a controller would commit on its cache, as `jobs.start` binds it."""
-    mine = (
+def start(node: Node, name: str, defects: Defects) -> InFlight | None:
+    """Return the start that a controller would send, with the conditions that `jobs` gives it."""
+    assigned = (
         node.cache.assignment.node == name
-        if defects.nameless
+        if defects.incarnation_ignored
         else node.cache.assignment == (name, node.incarnation)
     )
-    if not mine or node.cache.used >= LIMIT:
+    if not assigned or node.cache.starts >= LIMIT:
         return None
-    bound = None if defects.unbound else node.cache.team_at
-    in_doubt = node.in_doubt == node.cache.team_at and not defects.forgetful
-    assignment = TeamAssignment(name, node.incarnation) if in_doubt and defects.hasty else None
-    if in_doubt and assignment is None:
-        # As `jobs` does it: the record moves first, alone.
-        return Sent(None, bound, None, node.cache.assignment, False, (name, node.incarnation))
-    return Sent(None, bound, None, assignment, True, (name, node.incarnation))
+    team_version = None if defects.unconditional_start else node.cache.team_version
+    is_unresolved = (
+        node.unresolved_version == node.cache.team_version and not defects.unresolved_start_ignored
+    )
+    assignment = (
+        TeamAssignment(name, node.incarnation)
+        if is_unresolved and defects.unresolved_start_combined
+        else None
+    )
+    if is_unresolved and assignment is None:
+        # As in `jobs`, the record is first rewritten by a transaction of its own.
+        return InFlight(
+            None, team_version, None, node.cache.assignment, False, (name, node.incarnation)
+        )
+    return InFlight(None, team_version, None, assignment, True, (name, node.incarnation))
 
 
-def request_of(node: Node, name: str, transition: RosterTransition) -> Sent | None:
-    """A change of the roster or of the team's assignment, as `roster_transitions.write` binds it."""
+def transaction_of(node: Node, name: str, transition: RosterTransition) -> InFlight | None:
+    """Return a transition as a transaction, conditional as in `roster_transitions.write`."""
     if not transition:
         return None
     cache = node.cache
     members = None if transition.roster is None else tuple(sorted(transition.roster.items()))
     assignment = transition.assignments.get(TEAM)
-    team_at = cache.team_at if assignment is not None else None
-    return Sent(cache.roster_at, team_at, members, assignment, False, (name, node.incarnation))
+    team_version = cache.team_version if assignment is not None else None
+    return InFlight(
+        cache.roster_version, team_version, members, assignment, False, (name, node.incarnation)
+    )
 
 
 def possible_transitions(node: Node, name: str) -> Iterator[RosterTransition]:
-    """All transitions that a controller may ask for: suspicions need no reason here."""
+    """Yield all transitions that a controller could make; suspicions need no evidence here."""
     records = node.cache.records
-    me = records.roster.get(name)
+    own_member = records.roster.get(name)
     own = TeamAssignment(name, node.incarnation)
 
-    def tried(call: object, *args: object) -> Iterator[RosterTransition]:
+    def attempt(call: object, *args: object) -> Iterator[RosterTransition]:
         with contextlib.suppress(PreconditionFailedError):
             yield call(*args)  # type: ignore[operator]
 
-    yield from tried(roster_transitions.join, records, name, node.incarnation, 0.0, [TEAM])
-    if me is None or me.incarnation != node.incarnation:
+    yield from attempt(roster_transitions.join, records, name, node.incarnation, 0.0, [TEAM])
+    if own_member is None or own_member.incarnation != node.incarnation:
         return
-    yield from tried(roster_transitions.refute, records, name, node.incarnation)
-    if me.state != IN:
+    yield from attempt(roster_transitions.refute, records, name, node.incarnation)
+    if own_member.state != IN:
         return
-    yield from tried(roster_transitions.claim, records, TEAM, "a", own)
+    yield from attempt(roster_transitions.claim, records, TEAM, "a", own)
     for other, member in records.roster.items():
         if other == name:
             continue
         if member.state == IN:
-            yield from tried(roster_transitions.suspect, records, other, member, "")
+            yield from attempt(roster_transitions.suspect, records, other, member, "")
             if records.assignments[TEAM].node == name:
-                yield from tried(
+                yield from attempt(
                     roster_transitions.reassign, records, TEAM, other, records.assignments[TEAM]
                 )
         elif member.state == SUSPECT:
-            yield from tried(roster_transitions.clear, records, other, member)
-            yield from tried(roster_transitions.evict, records, other, member, "", 0.0, 1.0)
+            yield from attempt(roster_transitions.clear, records, other, member)
+            yield from attempt(roster_transitions.evict, records, other, member, "", 0.0, 1.0)
 
 
-def successors(world: World, defects: Defects) -> Iterator[World]:
-    """Everything that may happen next."""
-    for index, (name, node) in enumerate(zip(NODES, world.nodes, strict=True)):
+def successors(state: SystemState, defects: Defects) -> Iterator[SystemState]:
+    """Yield all states that can follow a state."""
+    for index, (name, node) in enumerate(zip(NODES, state.nodes, strict=True)):
 
-        def become(node: Node, index: int = index, **changes: object) -> World:
-            nodes = (*world.nodes[:index], node, *world.nodes[index + 1 :])
-            return world._replace(nodes=nodes, **changes)
+        def with_node(node: Node, index: int = index, **changes: object) -> SystemState:
+            nodes = (*state.nodes[:index], node, *state.nodes[index + 1 :])
+            return state._replace(nodes=nodes, **changes)
 
         if not node.alive:
-            incarnation = world.incarnations + 1
-            yield become(Node(True, incarnation, world.store), incarnations=incarnation)
+            incarnation = state.incarnations + 1
+            yield with_node(Node(True, incarnation, state.store), incarnations=incarnation)
             continue
-        if node.sent is None:
-            if node.cache != world.store:
-                yield become(node._replace(cache=world.store))
-            wanted = [
-                request_of(node, name, transition)
+        if node.in_flight is None:
+            if node.cache != state.store:
+                yield with_node(node._replace(cache=state.store))
+            transactions = [
+                transaction_of(node, name, transition)
                 for transition in possible_transitions(node, name)
             ]
-            for sent in [*wanted, start(node, name, defects)]:
-                if sent is not None:
-                    yield become(node._replace(sent=sent))
+            for in_flight in [*transactions, start(node, name, defects)]:
+                if in_flight is not None:
+                    yield with_node(node._replace(in_flight=in_flight))
         else:
-            after = apply(world.store, node.sent)
-            # Whoever was refused, or changed something, reads before it goes on.
-            yield become(node._replace(sent=None, cache=after), store=after)
-            if world.faults < FAULTS:
-                # No answer: it reads back what is there, and what it sent may arrive later.
-                in_doubt = node.sent.team_at or 0 if node.sent.start else node.in_doubt
-                lost = node._replace(sent=None, cache=world.store, in_doubt=in_doubt)
-                late = world.late | {node.sent}
-                yield become(lost, late=late, faults=world.faults + 1)
-        if world.faults < FAULTS:
-            late = world.late | ({node.sent} if node.sent else set())
-            ended = node._replace(alive=False, sent=None)
-            yield become(ended, late=frozenset(late), faults=world.faults + 1)
-    for sent in world.late:
-        yield world._replace(store=apply(world.store, sent), late=world.late - {sent})
-
-
-def violation(world: World, defects: Defects) -> str | None:
-    """Which rule a world breaks, if any."""
-    store = world.store
-    if store.used > LIMIT:
+            after = apply(state.store, node.in_flight)
+            # After a commit or a refusal the controller reads the records.
+            yield with_node(node._replace(in_flight=None, cache=after), store=after)
+            if state.faults < FAULTS:
+                # No response: the controller reads the records; the transaction may arrive later.
+                unresolved_version = (
+                    node.in_flight.team_version or 0
+                    if node.in_flight.start
+                    else node.unresolved_version
+                )
+                unanswered = node._replace(
+                    in_flight=None, cache=state.store, unresolved_version=unresolved_version
+                )
+                delayed = state.delayed | {node.in_flight}
+                yield with_node(unanswered, delayed=delayed, faults=state.faults + 1)
+        if state.faults < FAULTS:
+            delayed = state.delayed | ({node.in_flight} if node.in_flight else set())
+            crashed = node._replace(alive=False, in_flight=None)
+            yield with_node(crashed, delayed=frozenset(delayed), faults=state.faults + 1)
+    for in_flight in state.delayed:
+        yield state._replace(
+            store=apply(state.store, in_flight), delayed=state.delayed - {in_flight}
+        )
+
+
+def violation(state: SystemState, defects: Defects) -> str | None:
+    """Return the safety rule that a state violates, or None."""
+    store = state.store
+    if store.starts > LIMIT:
         return "more was started than the limit allows"
-    could = {
-        sent.by
-        for name, node in zip(NODES, world.nodes, strict=True)
-        if node.alive and (sent := node.sent or start(node, name, defects)) is not None
-        if sent.start and apply(store, sent).used > store.used
+    able_to_start = {
+        in_flight.sender
+        for name, node in zip(NODES, state.nodes, strict=True)
+        if node.alive and (in_flight := node.in_flight or start(node, name, defects)) is not None
+        if in_flight.start and apply(store, in_flight).starts > store.starts
     }
-    return "two controllers could start work of the team" if len(could) > 1 else None
+    return "two controllers could start work of the team" if len(able_to_start) > 1 else None
 
 
-def search(depth: int, defects: Defects) -> tuple[set[World], str | None]:
-    """All worlds that so many steps reach, and the first violation found."""
-    known = {initial_world()}
-    edge = list(known)
+def search(depth: int, defects: Defects) -> tuple[set[SystemState], str | None]:
+    """Return the states reachable in `depth` steps, and the first violation found."""
+    visited = {initial_state()}
+    frontier = list(visited)
     for _ in range(depth):
-        found: list[World] = []
-        for world in edge:
-            for after in successors(world, defects):
-                if after not in known:
-                    known.add(after)
-                    found.append(after)
+        discovered: list[SystemState] = []
+        for state in frontier:
+            for after in successors(state, defects):
+                if after not in visited:
+                    visited.add(after)
+                    discovered.append(after)
                     if (fault := violation(after, defects)) is not None:
-                        return known, fault
-        edge = found
-    return known, None
+                        return visited, fault
+        frontier = discovered
+    return visited, None
 
 
-def rounds_to_settle(world: World) -> int | None:
-    """How many rounds without further faults lead to one live assignee; None: too many."""
-    store = world.store
-    for sent in world.late:
-        store = apply(store, sent)
-    incarnations, nodes = world.incarnations, dict(zip(NODES, world.nodes, strict=True))
+def rounds_to_converge(state: SystemState) -> int | None:
+    """Return the fault-free rounds until a live process is assigned; None if there are too many."""
+    store = state.store
+    for in_flight in state.delayed:
+        store = apply(store, in_flight)
+    incarnations, nodes = state.incarnations, dict(zip(NODES, state.nodes, strict=True))
     if not any(node.alive for node in nodes.values()):
         incarnations += 1
         nodes["b"] = Node(True, incarnations, store)
@@ -233,16 +258,16 @@
         for name, node in nodes.items():
             if not node.alive:
                 continue
-            for wanted in _policy(nodes, name, node.incarnation, store):
-                sent = request_of(node._replace(cache=store), name, wanted)
-                if sent is not None:
-                    store = apply(store, sent)
+            for transition in _policy(nodes, name, node.incarnation, store):
+                in_flight = transaction_of(node._replace(cache=store), name, transition)
+                if in_flight is not None:
+                    store = apply(store, in_flight)
         assignment, member = store.assignment, dict(store.roster).get(store.assignment.node)
-        lives = (
+        is_live = (
             nodes[assignment.node].alive
             and nodes[assignment.node].incarnation == assignment.incarnation
         )
-        if lives and member is not None and member.state == IN:
+        if is_live and member is not None and member.state == IN:
             return round_number
     return None
 
@@ -250,12 +275,12 @@
 def _policy(
     nodes: dict[str, Node], name: str, incarnation: int, store: Store
 ) -> Iterator[RosterTransition]:
-    """What a controller does that knows which others live, as `policy` decides; one change a round."""
+    """Yield the one change that a controller makes in a round if it knows which others are alive."""
     records = store.records
-    me = records.roster.get(name)
-    if me is None or me.state == OUT or me.incarnation != incarnation:
+    own_member = records.roster.get(name)
+    if own_member is None or own_member.state == OUT or own_member.incarnation != incarnation:
         yield roster_transitions.join(records, name, incarnation, 0.0, [TEAM])
-    elif me.state == SUSPECT:
+    elif own_member.state == SUSPECT:
         yield roster_transitions.refute(records, name, incarnation)
     elif rightful_assignee(TEAM, "a", records) == name and records.assignments[TEAM] != (
         name,
@@ -274,15 +299,15 @@
 
 
 def test_no_interleaving_lets_two_controllers_start_or_exceeds_the_limit() -> None:
-    worlds, fault = search(DEPTH, Defects())
+    states, fault = search(DEPTH, Defects())
     assert fault is None
-    assert len(worlds) > 40_000
-    # From any of them, without further faults, one live assignee is reached.
-    rounds = [rounds_to_settle(world) for world in worlds]
+    assert len(states) > 40_000
+    # From each state, without further faults, the team gets a live assignee.
+    rounds = [rounds_to_converge(state) for state in states]
     assert None not in rounds and max(rounds) <= 5  # type: ignore[type-var]
 
 
 @pytest.mark.parametrize("defect", Defects._fields)
-def test_the_search_finds_each_planted_defect(defect: str) -> None:
+def test_the_search_finds_each_injected_defect(defect: str) -> None:
     _, fault = search(DEPTH, Defects(**{defect: True}))
     assert fault is not None
--- a/tests/plays.py
+++ b/tests/plays.py
@@ -32,6 +32,21 @@
 GROWN_FAULTS = ("cut_zone", "wave", "slow_store")
 PIPELINE_FAULTS = ("crashes", "outage", "everything")
 UPGRADE_FAULTS = ("quiet", "crashes", "cuts", "everything")
+# The faults of one controller by the names that plays had first, and as `test_faults` calls them.
+FAULTS_OF_A_CONTROLLER = {
+    "ends": "controller_crashes",
+    "stands_still_past_a_lease": "controller_freezes_past_agent_lease",
+    "stands_still_past_its_hold": "controller_freezes_past_its_lease",
+    "is_slow": "controller_is_slow",
+    "is_not_heard": "messages_to_peers_lost",
+    "is_refused_by_all": "connections_to_peers_refused",
+    "loses_the_store": "partitioned_from_store",
+    "loses_the_machines": "partitioned_from_machines",
+    "is_refused_by_the_store": "refused_by_store",
+    "two_end": "two_controllers_crash",
+    "all_roll": "rolling_restart",
+    "flaps": "controller_flaps",
+}
 # Faults of one controller, each with how slowly the store answers meanwhile, in seconds.
 FAULTS = (
     ("ends", 0.0),
@@ -125,7 +140,7 @@
 def _fault(seed: int, fault: str, slow_s: float) -> None:
     import test_faults
 
-    test_faults.play_fault(seed, getattr(test_faults, fault), slow_s)
+    test_faults.play_fault(seed, getattr(test_faults, FAULTS_OF_A_CONTROLLER[fault]), slow_s)
 
 
 def _combined(seed: int, *names: str) -> None:
