--- a/src/sandladder/membership/controller_lease.py
+++ b/src/sandladder/membership/controller_lease.py
@@ -95,7 +95,7 @@
         self._fencing_token = fencing_token
         self._on_fencing_token = on_fencing_token
         self._on_acquired = on_acquired
-        # Another process has acquired a lease under this name later, so this one is fenced.
+        # Whether another process has since acquired a lease under this name, which fences this one.
         self.superseded = False
         self._renewal: LeaseRenewal | None = None
         self._inventory_stored = False  # the inventory is in the store under the current lease
@@ -259,7 +259,7 @@
             return True
 
         await self._inventory.write_ahead(lease)
-        # Without a priority the inventory could starve; the other controllers rely on it to start
-        # tasks on the machines that report here.
+        # The other controllers need the inventory to start tasks on the machines that report here,
+        # so it must not starve at a lower priority.
         change = PendingChange("inventory", PRIORITY_REQUEST, 1, apply, leased=True)
         await self._committer.add(change).wait()
--- a/src/sandladder/membership/service.py
+++ b/src/sandladder/membership/service.py
@@ -106,7 +106,7 @@
         self.detector.record_heartbeat(node, status, clock.now())
 
     def connection_changed(self, node: str, refused: bool) -> None:
-        """Record that a connection to a peer was made or refused."""
+        """Record a new or failed connection to a peer, and whether it was refused."""
         self.detector.record_connection(node, refused)
         self._wakeup.set()
 
--- a/src/sandladder/peers/peer_service.py
+++ b/src/sandladder/peers/peer_service.py
@@ -155,7 +155,7 @@
     # Events
 
     def connection_changed(self, node: str, refused: bool) -> None:
-        """Record that a connection was made or refused; announce a refusal to the other peers."""
+        """Record a new or failed connection; announce a refusal to the other peers at once."""
         self._membership.connection_changed(node, refused)
         if refused:
             for name, connection in self.connections.items():
