--- a/src/sandladder/agents/agent_expiry.py
+++ b/src/sandladder/agents/agent_expiry.py
@@ -72,7 +72,7 @@
                 and agent.accepts_token
             ):
                 # The agent rejects the late start once it has accepted a later token.
-                await self._controller_lease.acquire_token_above(self._reconciler.fencing_token + 1)
+                await self._controller_lease.ensure_token(self._reconciler.fencing_token + 1)
 
     def _remove_silent_agents(self, now: float) -> None:
         self._reconciler.remove_silent_agents(now, _REMOVAL_AFTER_LEASES * self._lease_s)
