--- a/src/sandladder/controller/services.py
+++ b/src/sandladder/controller/services.py
@@ -157,8 +157,8 @@
             self.rng,
             self._records_changed,
             self.limits,
-            trust_s=_TRUST_LEASES * self.lease_s,
-            patience_s=self.report_s,
+            limits_reset_s=_TRUST_LEASES * self.lease_s,
+            max_wait_s=self.report_s,
         )
 
     def _make_scheduling(self) -> None:
--- a/src/sandladder/state/group_commit.py
+++ b/src/sandladder/state/group_commit.py
@@ -74,8 +74,8 @@
         rng: Random,
         on_change: Callable[[dict[str, None]], None],
         limits: StoreLimits,
-        trust_s: float,
-        patience_s: float = 1.0,
+        limits_reset_s: float,
+        max_wait_s: float = 1.0,
         most_queued: int = 2048,
     ) -> None:
         """Prepare the committer; `run` commits.
@@ -87,8 +87,8 @@
             rng: for the delays between tries.
             on_change: called with the keys that a commit changed.
             limits: what the store accepts.
-            trust_s: how long limits that were found smaller than the settings are kept so.
-            patience_s: what has waited longer goes along with whatever is more urgent.
+            limits_reset_s: how long limits that a rejection reduced stay in force, in seconds.
+            max_wait_s: the wait in seconds after which a change is batched with more urgent ones.
             most_queued: from how many waiting changes on the queue counts as full.
         """
         self._store = store
@@ -97,8 +97,8 @@
         self._rng = rng
         self._on_change = on_change
         self._limits = limits
-        self._trust_s = trust_s
-        self._patience_s = patience_s
+        self._limits_reset_s = limits_reset_s
+        self._max_wait_s = max_wait_s
         self._most_queued = most_queued
         self._queue: list[PendingChange] = []
         self._added = Signal()
@@ -170,7 +170,7 @@
         self._queue = [change for change in self._queue if not change.abandoned]
         if not self._queue:
             return
-        if self._limits.is_shrunk and clock.now() - self._shrunk_at > self._trust_s:
+        if self._limits.is_shrunk and clock.now() - self._shrunk_at > self._limits_reset_s:
             self._limits.reset()
         self._queue.sort(key=lambda change: change.priority)
         # While the budget is short, work waits.  What a user or the lease waits for, or work that
@@ -192,7 +192,7 @@
         """Gather changes of a priority up to `last`; None if none is to be committed."""
         piece = _PIECE_S * self._store.limits.write_rps * self._store.writes.share
         most = max(MIN_TXN_OPS, int(min(self._limits.txn_ops * self._share, piece)))
-        queue = fair_order(self._queue, last, most, clock.now() - self._patience_s)
+        queue = fair_order(self._queue, last, most, clock.now() - self._max_wait_s)
         return self._builder.build(queue, most, single=self._one_by_one)
 
     async def _send(self, batch: Batch) -> None:
@@ -271,7 +271,7 @@
         if isinstance(error, StoreUnavailableError):
             # The watch reads anyway.  Seen in a measured day: in an outage a third of the processor
             # time went into evaluating what waits, eleven times a second.
-            with anyio.move_on_after(self._patience_s):
+            with anyio.move_on_after(self._max_wait_s):
                 await self._watch.barrier()
 
     def _on_lease_expired(self, batch: Batch, error: LeaseExpiredError) -> None:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -110,7 +110,7 @@
         Random(1),
         lambda keys: None,
         StoreLimits(limits, cache),
-        trust_s=1e9,
+        limits_reset_s=1e9,
     )
 
 
@@ -220,8 +220,8 @@
             Random(1),
             lambda keys: None,
             StoreLimits(limits, cache),
-            trust_s=1e9,
-            patience_s=1e9,
+            limits_reset_s=1e9,
+            max_wait_s=1e9,
         )
         change = PendingChange("x", 1.0, 1, apply)
         async with anyio.create_task_group() as tasks:
