--- a/src/sandladder/controller/planning_loop.py
+++ b/src/sandladder/controller/planning_loop.py
@@ -113,7 +113,7 @@
         jobs = self._assigned_jobs()
         backing_off = self._job_committer.backing_off
         # What cannot be written yet would only grow stale: another controller takes the capacity.
-        written_soon = self._committer.free_in_s <= self._report_s * _WRITTEN_SOON
+        written_soon = self._committer.write_delay_s <= self._report_s * _WRITTEN_SOON
         least_priority = LOW if written_soon else HIGH
         self._job_committer.commit_starts(self._planner.plan(jobs, backing_off, least_priority))
         victims = self._preemption.preempt(jobs, backing_off) + self._preemption.graceful_evictions(
--- a/src/sandladder/state/group_commit.py
+++ b/src/sandladder/state/group_commit.py
@@ -132,7 +132,7 @@
         return len(self._queue) >= self._most_queued
 
     @property
-    def free_in_s(self) -> float:
+    def write_delay_s(self) -> float:
         """How long until work that is not urgent may be written, in seconds."""
         return self._store.writes.delay(self._queue[0].cost if self._queue else 1)
 
