--- a/src/sandladder/api/admission.py
+++ b/src/sandladder/api/admission.py
@@ -67,8 +67,8 @@
         else:
             parts = split_value(record, self._store_limits.value_bytes)
             size = sum(len(msgspec.json.encode(part)) for part in parts)
-            if spec.kind == GANG and spec.tasks > self._store_limits.most_live_tasks(size):
+            if spec.kind == GANG and spec.tasks > self._store_limits.max_live_tasks(size):
                 return "so many tasks at a time are more than can be kept"
-        if size > self._store_limits.most_spec_bytes():
+        if size > self._store_limits.max_spec_bytes():
             return "its description is too large to be kept"
         return None
--- a/src/sandladder/scheduling/planner.py
+++ b/src/sandladder/scheduling/planner.py
@@ -45,7 +45,7 @@
 
     def most_live(self, spec: JobSpec) -> int:
         """How many tasks of a job may be live, for its record to fit the store."""
-        return min(spec.tasks, self.store_limits.most_live_tasks(len(msgspec.json.encode(spec))))
+        return min(spec.tasks, self.store_limits.max_live_tasks(len(msgspec.json.encode(spec))))
 
     def plan(
         self, owned: Iterable[Job], backing_off: dict[str, float], least: int = LOW
--- a/src/sandladder/state/store_limits.py
+++ b/src/sandladder/state/store_limits.py
@@ -70,24 +70,24 @@
         return min(self._configured.value_bytes * _VALUE_SHARE, self._largest_value_bytes)
 
     @property
-    def most_parts(self) -> int:
+    def max_parts(self) -> int:
         """How many values a job's record may take: its end needs one change more."""
         if self._is_schema_v1:
             return 1
         return max(1, min(_MOST_PARTS, self.txn_ops - 1))
 
-    def most_spec_bytes(self) -> float:
+    def max_spec_bytes(self) -> float:
         """How long a job's record may be while nothing of it is live, in bytes."""
         if self._is_schema_v1:
             return self.configured.value_bytes * _SPEC_SHARE
-        return self.most_parts * self.value_bytes * (1 - _LEAST_LIVE_SHARE)
+        return self.max_parts * self.value_bytes * (1 - _LEAST_LIVE_SHARE)
 
-    def most_live_tasks(self, spec_bytes: int = 512) -> int:
+    def max_live_tasks(self, spec_bytes: int = 512) -> int:
         """How many tasks of a job may be live such that its record stays within the limits."""
         if self._is_schema_v1:
             most = int(self.configured.value_bytes * _LIVE_SHARE / _TASK_BYTES)
         else:
-            free_bytes = self.most_parts * self.value_bytes - spec_bytes
+            free_bytes = self.max_parts * self.value_bytes - spec_bytes
             most = int(free_bytes / _COMPRESSED_TASK_BYTES)
         return max(_LEAST_LIVE_TASKS, most)
 
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -158,7 +158,7 @@
         if schema_version == SCHEMA_V2
         else [job_value(found)]
     )
-    assert len(values) <= limits.most_parts
+    assert len(values) <= limits.max_parts
     assert all(len(msgspec.json.encode(value)) <= value_kb * 1024 for value in values)
 
 
