--- a/src/sandladder/autoscaling/autoscaler_lease.py
+++ b/src/sandladder/autoscaling/autoscaler_lease.py
@@ -88,14 +88,14 @@
         return await self._renew_if_due(self._renewal, now)
 
     async def _renew_if_due(self, renewal: LeaseRenewal, now: float) -> bool:
-        if now > renewal.until - self._ttl_s * _RENEWED_SHARE:
+        if now > renewal.valid_until - self._ttl_s * _RENEWED_SHARE:
             try:
                 await self._store.renew(renewal.lease)
             except LeaseExpiredError:
                 self._renewal = None
                 return False
             renewal = self._renewal = self._counted_from(renewal.lease, now)
-        return clock.now() < renewal.until
+        return clock.now() < renewal.valid_until
 
     async def _acquire_if_free(self, now: float) -> bool:
         if not self._may_acquire(self._cache) or not self._controller.lease_alive():
--- a/src/sandladder/membership/controller_lease.py
+++ b/src/sandladder/membership/controller_lease.py
@@ -107,7 +107,7 @@
         renewal = self._renewal
         if self.superseded:
             return False
-        return self._present and renewal is not None and clock.now() < renewal.until
+        return self._present and renewal is not None and clock.now() < renewal.valid_until
 
     def observe(self) -> None:
         """The records changed: see whose inventory is stored under this controller's name.
@@ -203,7 +203,7 @@
     async def _acquire(self) -> None:
         """Acquire a lease, a fencing token, and the presence that the other controllers see."""
         renewal = self._renewal
-        if renewal is None or clock.now() >= renewal.until:
+        if renewal is None or clock.now() >= renewal.valid_until:
             sent = clock.now()
             lease = await self._store.grant_lease(self._ttl_s)
             renewal = LeaseRenewal(lease, self._expires_at(sent))
--- a/src/sandladder/state/store_client.py
+++ b/src/sandladder/state/store_client.py
@@ -183,4 +183,4 @@
     """A lease and until when it certainly lasts, in seconds on the steady clock."""
 
     lease: int
-    until: float
+    valid_until: float
