--- a/src/sandladder/state/batch.py
+++ b/src/sandladder/state/batch.py
@@ -1,4 +1,4 @@
-"""Pending changes gathered into one transaction.
+"""Batches of pending changes, each committed as one transaction.
 
 Pure: no I/O, no clock.
 """
@@ -26,19 +26,19 @@
 
 @dataclass(frozen=True)
 class Batch:
-    """A transaction to be sent, and the pending changes that it commits."""
+    """A transaction, and the pending changes that it commits."""
 
     transaction: Transaction
     members: list[PendingChange]
 
     @cached_property
     def changes(self) -> list[KeyChange]:
-        """Its puts and deletes."""
+        """The puts and deletes of the transaction."""
         return self.transaction.changes()
 
     @cached_property
     def body(self) -> bytes:
-        """The encoded request."""
+        """The encoded request body."""
         return store_messages.commit_body(
             self.transaction.expected_versions.items(),
             [change for change in self.changes if change.value is not None],
@@ -47,17 +47,17 @@
 
     @property
     def largest_value_bytes(self) -> int:
-        """The length of its longest value."""
+        """The encoded length of the longest value, in bytes."""
         return max((len(msgspec.json.encode(c.value)) for c in self.changes), default=0)
 
     @property
     def names(self) -> list[str]:
-        """The names of its members, for the log."""
+        """The names of the changes, for the log."""
         return [member.name for member in self.members]
 
 
 class BatchBuilder:
-    """Evaluates pending changes one after the other while they fit into one transaction."""
+    """Evaluates pending changes in order while they fit into one transaction."""
 
     def __init__(
         self,
@@ -66,14 +66,13 @@
         in_doubt: Mapping[str, int],
         resolve: Resolve,
     ) -> None:
-        """Prepare the builder.
+        """Create a builder.
 
         Args:
             cache: the records.
-            limits: what the store accepts.
-            in_doubt: see `Transaction.in_doubt`; read each time.
-            resolve: called with each change that needs no commit, and the error with which it is
-                given up, if any.
+            limits: the store's size limits.
+            in_doubt: see `Transaction.in_doubt`; read by each `build`.
+            resolve: called with each change that needs no commit or fails, and its error, if any.
         """
         self._cache = cache
         self._limits = limits
@@ -81,66 +80,68 @@
         self._resolve = resolve
 
     def build(
-        self, queue: Sequence[PendingChange], most: int, *, single: bool = False
+        self, queue: Sequence[PendingChange], max_operations: int, *, single: bool = False
     ) -> Batch | None:
-        """Gather changes in the order of the queue; None if none is to be committed.
+        """Build a batch in the order of the queue, or return None if no change needs a commit.
 
         Args:
-            queue: the changes to be tried.
-            most: how many puts and deletes the transaction may come to.  One change alone may
-                exceed this, up to the store's limit.
-            single: take one change only.
+            queue: the changes to be evaluated.
+            max_operations: the maximum number of puts and deletes.  A single change may exceed it,
+                up to the store's limit.
+            single: whether to take one change only.
         """
         transaction = Transaction(self._cache, self._limits.value_bytes, self._in_doubt)
         members: list[PendingChange] = []
         for change in queue:
-            if members and (single or transaction.size + change.added_to(transaction) > most):
+            if members and (
+                single or transaction.size + change.added_to(transaction) > max_operations
+            ):
                 break
             trial = self._evaluate(change, transaction)
             if trial is None:
                 continue
-            if trial.size > most or trial.conditions > self._limits.conditions:
+            if trial.size > max_operations or trial.conditions > self._limits.conditions:
                 if members:
                     break
                 if trial.size > self._limits.txn_ops or trial.conditions > self._limits.conditions:
                     log.error(
-                        "the change %s needs %d operations, too many for the store",
+                        "change %s needs %d operations, more than the store's limit",
                         change.name,
                         trial.size,
                     )
-                    self._resolve(change, PreconditionFailedError("too large for the store"))
+                    self._resolve(change, PreconditionFailedError("exceeds the store's limits"))
                     continue
             transaction = trial.transaction
             members.append(change)
         return Batch(transaction, members) if members else None
 
     def _evaluate(self, change: PendingChange, transaction: Transaction) -> "_Trial | None":
-        """The transaction with a change added, or None after resolving the change."""
+        """Return the transaction with a change added, or resolve the change and return None."""
         trial = transaction.copy()
         try:
-            useful = change.apply(trial)
-            # A record that cannot be encoded fails here, with the change that made it.
-            size = trial.size if useful else 0
-        except PreconditionFailedError as refusal:
-            self._resolve(change, refusal)
+            is_needed = change.apply(trial)
+            # Encode the records, so that an error is attributed to the change that causes it.
+            size = trial.size if is_needed else 0
+        except PreconditionFailedError as reason:
+            self._resolve(change, reason)
             return None
         except Exception as error:
-            log.exception("the change %s cannot be evaluated", change.name)
+            log.exception("failed to evaluate change %s", change.name)
             self._resolve(change, PreconditionFailedError(str(error)))
             return None
-        if not useful:
+        if not is_needed:
             self._resolve(change, None)
             return None
         return _Trial(trial, size)
 
 
 class _Trial(NamedTuple):
-    """A transaction with one change more, and how many puts and deletes it is."""
+    """A transaction with one more change, and its number of puts and deletes."""
 
     transaction: Transaction
     size: int
 
     @property
     def conditions(self) -> int:
-        """How many versions it expects."""
+        """The number of expected versions."""
         return len(self.transaction.expected_versions)
--- a/src/sandladder/state/group_commit.py
+++ b/src/sandladder/state/group_commit.py
@@ -1,4 +1,4 @@
-"""Commits pending changes in groups."""
+"""Group commit: batches pending changes into compare-and-swap transactions."""
 
 import logging
 from collections import Counter
@@ -41,29 +41,29 @@
 
 log = logging.getLogger(__name__)
 
-# How often to see whether the cache has been loaded, in seconds.
-_LOAD_POLL_S = 0.05
-# A request may take this share of what the store accepts.
-_BODY_SHARE = 0.6
-# A transaction takes what the write limit allows in this many seconds: where controllers spend
-# their shares in large pieces, they collide and are rejected.
-_PIECE_S = 1.5
-# How the share of a full transaction shrinks on a conflict, and how far; how far it shrinks for the
-# length of a request; and how each commit lets it grow again.
-_SHARE_DECREASE, _LEAST_SHARE, _LEAST_SHARE_BY_LENGTH, _SHARE_INCREASE = 0.5, 0.25, 0.1, 1.5
-# The delay before a rejected transaction is tried again, in puts at the store's write limit: at
-# random up to this after a conflict, and from this to three times as long after an error.
-_RETRY_WRITES = 0.5
+# Interval at which the committer checks whether the cache has been loaded, in seconds.
+_LOAD_POLL_INTERVAL_S = 0.05
+# Largest request body, as a share of `codec.BODY_LIMIT`.
+_MAX_BODY_SHARE = 0.6
+# A transaction is limited to what the write limit allows in this many seconds: larger transactions
+# of several controllers exceed the limit together and are rejected.
+_MAX_TRANSACTION_S = 1.5
+# The share of a full transaction that is used: its factor on a conflict and its minimum, the
+# minimum when a body is too long, and its factor on a commit.
+_SHARE_DECREASE, _MIN_SHARE, _MIN_SHARE_FOR_LONG_BODY, _SHARE_INCREASE = 0.5, 0.25, 0.1, 1.5
+# Base of the retry delay, in puts at the store's write limit.  The delay is random: up to this
+# after a conflict, and from this to three times as long after an error.
+_RETRY_DELAY_WRITES = 0.5
 
 
 class GroupCommitter:
-    """Joins waiting changes into transactions, one at a time, within the write budget.
+    """Batches pending changes and commits one transaction at a time within the write budget.
 
     Attributes:
-        committed: how many transactions were applied.
-        rejected: how many failed on a conflict.
-        wrote: how many keys were written, by kind of key.
-        refused_over: how many keys were in conflict, by kind of key.
+        committed: the number of committed transactions.
+        rejected: the number of transactions that failed on a conflict.
+        committed_keys: the number of keys written, by kind of key.
+        conflicting_keys: the number of keys in conflict, by kind of key.
     """
 
     def __init__(
@@ -76,20 +76,20 @@
         limits: StoreLimits,
         limits_reset_s: float,
         max_wait_s: float = 1.0,
-        most_queued: int = 2048,
+        max_queued: int = 2048,
     ) -> None:
-        """Prepare the committer; `run` commits.
+        """Create a committer; `run` commits.
 
         Args:
-            store: where transactions go.
-            cache: the records that changes are evaluated on; gets what was committed.
-            watch: brings the cache up to date after a conflict.
-            rng: for the delays between tries.
+            store: the client that commits the transactions.
+            cache: the records that changes are evaluated on; it is updated by each commit.
+            watch: updates the cache after a conflict.
+            rng: the source of random retry delays.
             on_change: called with the keys that a commit changed.
-            limits: what the store accepts.
+            limits: the store's size limits.
             limits_reset_s: how long limits that a rejection reduced stay in force, in seconds.
             max_wait_s: the wait in seconds after which a change is batched with more urgent ones.
-            most_queued: from how many waiting changes on the queue counts as full.
+            max_queued: the number of pending changes at which the queue is full.
         """
         self._store = store
         self._cache = cache
@@ -99,46 +99,46 @@
         self._limits = limits
         self._limits_reset_s = limits_reset_s
         self._max_wait_s = max_wait_s
-        self._most_queued = most_queued
+        self._max_queued = max_queued
         self._queue: list[PendingChange] = []
         self._added = Signal()
-        # Team records that a transaction without an answer relied on and did not change, with the
-        # version that it relied on.
+        # Team records that a transaction of unknown outcome expected and did not change, by key,
+        # with the expected version.
         self._in_doubt: dict[str, int] = {}
         self._builder = BatchBuilder(cache, limits, self._in_doubt, self._resolve)
-        self._share = 1.0  # of a full transaction; conflicts shrink it
-        self._one_by_one = False  # to find the change that the store rejects
-        self._shrunk_at = float("-inf")  # when the limits were found smaller
+        self._share = 1.0  # of a full transaction; reduced by conflicts
+        self._one_by_one = False  # one change a transaction, to find the one that the store rejects
+        self._shrunk_at = float("-inf")  # when a rejection last reduced the limits
         self.committed = 0
         self.rejected = 0
         self.committed_keys: Counter[str] = Counter()
         self.conflicting_keys: Counter[str] = Counter()
 
-    # The queue
+    # Queue
 
     @property
     def queued(self) -> int:
-        """How many changes wait."""
+        """The number of pending changes."""
         return len(self._queue)
 
     @property
     def demand(self) -> int:
-        """How many puts and deletes wait at most."""
+        """The maximum number of puts and deletes of all pending changes."""
         return sum(change.cost for change in self._queue)
 
     @property
     def full(self) -> bool:
-        """Whether new work of users should be turned away."""
-        return len(self._queue) >= self._most_queued
+        """Whether users' new requests should be rejected."""
+        return len(self._queue) >= self._max_queued
 
     @property
     def write_delay_s(self) -> float:
-        """How long until work that is not urgent may be written, in seconds."""
+        """The delay until the write budget allows the next non-urgent change, in seconds."""
         return self._store.writes.delay(self._queue[0].cost if self._queue else 1)
 
     def add(self, change: PendingChange) -> PendingChange:
-        """Queue a change; `change.wait()` waits for its commit."""
-        change.since = clock.now()
+        """Queue a change and return it; `change.wait()` waits for its commit."""
+        change.queued_at = clock.now()
         self._queue.append(change)
         self._added.set()
         return change
@@ -151,17 +151,17 @@
     # Building and sending transactions
 
     async def run(self) -> None:
-        """Commit what waits until cancelled.
+        """Commit pending changes until cancelled.
 
-        Cancelled while a transaction is under way, it leaves the changes in the queue: that
-        transaction may be applied or not.
+        If cancelled during a commit, the changes stay in the queue; the store may apply the
+        transaction or not.
         """
         while True:
             if not self._queue:
                 await self._added.wait()
                 continue
             if not self._watch.loaded:
-                await anyio.sleep(_LOAD_POLL_S)
+                await anyio.sleep(_LOAD_POLL_INTERVAL_S)
                 continue
             await self._commit_next()
 
@@ -173,8 +173,8 @@
         if self._limits.is_shrunk and clock.now() - self._shrunk_at > self._limits_reset_s:
             self._limits.reset()
         self._queue.sort(key=lambda change: change.priority)
-        # While the budget is short, work waits.  What a user or the lease waits for, or work that
-        # must start at once, goes alone: should the store reject it, it is soon tried again.
+        # Without write budget, only requests, lease changes and urgent starts are sent, and nothing
+        # is batched with them: a small transaction that the store rejects is soon retried.
         delay = self._store.writes.delay(self._queue[0].cost)
         urgent = self._queue[0].priority < PRIORITY_JOB
         if delay > 0 and not urgent:
@@ -183,17 +183,19 @@
         batch = self._build(PRIORITY_URGENT_START if delay > 0 else LAST_PRIORITY)
         if batch is None:
             return
-        if len(batch.body) > _BODY_SHARE * codec.BODY_LIMIT and len(batch.members) > 1:
-            self._share = max(_LEAST_SHARE_BY_LENGTH, self._share * _SHARE_DECREASE)
+        if len(batch.body) > _MAX_BODY_SHARE * codec.BODY_LIMIT and len(batch.members) > 1:
+            self._share = max(_MIN_SHARE_FOR_LONG_BODY, self._share * _SHARE_DECREASE)
             return
         await self._send(batch)
 
-    def _build(self, last: Priority) -> Batch | None:
-        """Gather changes of a priority up to `last`; None if none is to be committed."""
-        piece = _PIECE_S * self._store.limits.write_rps * self._store.writes.share
-        most = max(MIN_TXN_OPS, int(min(self._limits.txn_ops * self._share, piece)))
-        queue = fair_order(self._queue, last, most, clock.now() - self._max_wait_s)
-        return self._builder.build(queue, most, single=self._one_by_one)
+    def _build(self, max_priority: Priority) -> Batch | None:
+        """Build a batch of changes up to a priority, or return None if none needs a commit."""
+        affordable = _MAX_TRANSACTION_S * self._store.limits.write_rps * self._store.writes.share
+        max_operations = max(MIN_TXN_OPS, int(min(self._limits.txn_ops * self._share, affordable)))
+        queue = fair_order(
+            self._queue, max_priority, max_operations, clock.now() - self._max_wait_s
+        )
+        return self._builder.build(queue, max_operations, single=self._one_by_one)
 
     async def _send(self, batch: Batch) -> None:
         try:
@@ -211,7 +213,7 @@
         else:
             self._on_committed(batch, revision)
 
-    # What came of a transaction
+    # Outcomes of a transaction
 
     def _on_committed(self, batch: Batch, revision: int) -> None:
         self.committed += 1
@@ -231,28 +233,25 @@
         self._on_change(changed)
 
     async def _on_conflict(self, batch: Batch, conflict: ConflictError) -> None:
-        """A rejected commit is revalidated on newer records.
-
-        It waits for a random time, so that two controllers do not keep colliding.
-        """
+        """Update the cache and wait a random time, so that controllers do not collide again."""
         self.rejected += 1
         self.conflicting_keys.update(key_kind(key) for key in conflict.failed)
-        log.debug("conflict: %s over %s", batch.names, conflict)
+        log.debug("transaction of %s conflicts on %s", batch.names, conflict)
         for member in batch.members:
             if member.settled_by_key in conflict.failed:
-                self._resolve(member, PreconditionFailedError("known"))
-        self._share = max(_LEAST_SHARE, self._share * _SHARE_DECREASE)
+                self._resolve(member, PreconditionFailedError("settled by another transaction"))
+        self._share = max(_MIN_SHARE, self._share * _SHARE_DECREASE)
         await self._watch.barrier()
-        await anyio.sleep(self._rng.random() * _RETRY_WRITES / self._store.limits.write_rps)
+        await anyio.sleep(self._rng.random() * _RETRY_DELAY_WRITES / self._store.limits.write_rps)
 
     async def _on_unknown_outcome(self, batch: Batch, error: UnknownOutcomeError) -> None:
-        """Read back what may have been written.
+        """Read the records again, as the transaction may have been applied or may be applied later.
 
-        The conditions of the transaction make it harmless should it be applied later: what is done
-        next changes the same keys, or finds them changed.  What it relied on without changing it
-        is written by a change of its own before anything relies on it again.
+        For a key that it writes, the expected version makes a late commit harmless: the next change
+        of the key either invalidates that version or conflicts.  A team record that it only expects
+        is rewritten as a fence before another transaction may expect the same version.
         """
-        log.info("a transaction had no answer (%s): reading back", error)
+        log.info("no response to a transaction (%s); reading the records again", error)
         written = {change.key for change in batch.changes}
         for key, version in batch.transaction.expected_versions.items():
             if key.startswith(TEAM_PREFIX) and key not in written:
@@ -265,12 +264,12 @@
         await self._watch.barrier()
 
     async def _on_store_error(self, error: StoreRequestError) -> None:
-        log.debug("not committed: %s", error)
-        writes = _RETRY_WRITES + self._rng.random()
+        log.debug("transaction failed: %s", error)
+        writes = _RETRY_DELAY_WRITES + self._rng.random()
         await anyio.sleep(writes / self._store.limits.write_rps)
         if isinstance(error, StoreUnavailableError):
-            # The watch reads anyway.  Seen in a measured day: in an outage a third of the processor
-            # time went into evaluating what waits, eleven times a second.
+            # Wait for a successful read, so that pending changes are not evaluated at each retry
+            # throughout an outage.
             with anyio.move_on_after(self._max_wait_s):
                 await self._watch.barrier()
 
@@ -280,8 +279,8 @@
                 self._resolve(member, LeaseExpiredError(error.lease))
 
     def _on_too_large(self, batch: Batch, error: TransactionTooLargeError) -> None:
-        """Shrink the limits: the transaction is never tried again as it is."""
-        log.warning("the store refused a transaction of %s: %s", batch.names, error)
+        """Reduce the limits so that the transaction is not retried unchanged."""
+        log.warning("the store rejected a transaction of %s: %s", batch.names, error)
         self._shrunk_at = clock.now()
         if not self._limits.shrink(len(batch.changes), batch.largest_value_bytes):
             if len(batch.members) == 1:
--- a/src/sandladder/state/pending_change.py
+++ b/src/sandladder/state/pending_change.py
@@ -1,4 +1,4 @@
-"""Changes that wait to be committed, and the order in which they go."""
+"""Changes that are queued for a commit, and their order."""
 
 import math
 from collections.abc import Callable, Sequence
@@ -11,47 +11,47 @@
 from sandladder.state.transaction import Transaction
 
 Priority = NewType("Priority", float)
-"""How urgent a change is: lower goes first."""
+"""The priority of a change; lower values are committed first."""
 
-# What the controller's lease depends on.
+# Changes on which the controller's lease depends.
 PRIORITY_LEASE = Priority(0)
-# What a user or another controller waits for.
+# Changes for which a user or another controller waits.
 PRIORITY_REQUEST = Priority(1)
-# A start that must not wait for the write budget.
+# Starts that may exceed the write budget.
 PRIORITY_URGENT_START = Priority(1.5)
-# Other work on jobs: from here to one more, by the job's priority.
+# Other changes of jobs; `job_priority` adds at most 1.
 PRIORITY_JOB = Priority(2)
-# What can wait until nothing else is to be done.
+# Deferrable changes.
 PRIORITY_BACKGROUND = Priority(9)
-# After everything else.
+# Lower than all others, as a bound that admits every change.
 LAST_PRIORITY = Priority(math.inf)
 
 
 def job_priority(priority: int) -> Priority:
-    """The priority of a change for a job: more urgent jobs' changes go first."""
+    """Return the priority of a change for a job of the given priority."""
     return Priority(PRIORITY_JOB + (PRODUCTION - priority) / 10)
 
 
 @dataclass(eq=False)
 class PendingChange:
-    """Something to be committed: evaluated on the current records each time it is tried.
+    """A change to be committed, evaluated on the current records at each attempt.
 
     Attributes:
-        name: what it is, for the log.
-        priority: lower goes first.
-        cost: how many puts and deletes it takes at most.
-        apply: adds the change to a transaction, or returns False if there is nothing to do any
-            more; raises PreconditionFailedError if it does not hold on the current records.
-        final: a key whose existence settles the matter: if a commit fails because of it, the change
-            is given up.
+        name: the name of the change, for the log.
+        priority: lower values are committed first.
+        cost: the maximum number of puts and deletes.
+        apply: adds the change to a transaction, or returns False if nothing needs to be changed;
+            raises PreconditionFailedError if the change is not valid on the current records.
+        settled_by_key: a key whose existence makes the change obsolete: if a commit conflicts on
+            it, the change fails instead of being retried.
         leased: whether it attaches a key to a lease.
-        adds: how many puts and deletes it adds at most to those that a transaction has; `cost` if
-            not given.
-        on_commit: called once it is committed, before the cache has the change.
-        since: when it was added to the queue, on the steady clock, in seconds.
-        finished: set once it is committed or given up.
-        error: why it was given up.
-        abandoned: nobody waits for it any more, so it need not be tried.
+        added_operations: returns the maximum number of puts and deletes that it adds to a
+            transaction; `cost` applies if absent.
+        on_commit: called after the commit, before the cache has the change.
+        queued_at: when it was added to the queue, on the steady clock, in seconds.
+        finished: set once the change is committed, needs no commit, or has failed.
+        error: the reason why it failed, if any.
+        abandoned: whether the waiter was cancelled, so that the change is not attempted again.
     """
 
     name: str
@@ -62,23 +62,23 @@
     leased: bool = field(default=False, kw_only=True)
     added_operations: Callable[[Transaction], int] | None = field(default=None, kw_only=True)
     on_commit: Callable[[], None] | None = field(default=None, kw_only=True)
-    since: float = field(default=0.0, init=False)
+    queued_at: float = field(default=0.0, init=False)
     finished: anyio.Event = field(default_factory=anyio.Event, init=False)
     error: Exception | None = field(default=None, init=False)
     abandoned: bool = field(default=False, init=False)
 
     def added_to(self, transaction: Transaction) -> int:
-        """How many puts and deletes it adds at most to a transaction."""
+        """Return the maximum number of puts and deletes that it adds to a transaction."""
         return self.cost if self.added_operations is None else self.added_operations(transaction)
 
     async def wait(self) -> None:
-        """Wait until it is committed.
+        """Wait until the change is committed or needs no commit.
 
-        Cancelled, the change is abandoned; it may have been sent already.
+        Cancellation abandons the change, which may already have been sent.
 
         Raises:
-            PreconditionFailedError: it does not hold on the current records.
-            LeaseExpiredError: the lease that it attaches a key to has expired.
+            PreconditionFailedError: the change is not valid on the current records.
+            LeaseExpiredError: the lease to which it attaches a key has expired.
         """
         try:
             await self.finished.wait()
@@ -89,36 +89,35 @@
             raise self.error
 
     def resolve(self, error: Exception | None = None) -> None:
-        """It is committed, or there is nothing to do; with an error: it is given up."""
+        """Mark the change as finished, or as failed if an error is given."""
         self.error = error
         self.finished.set()
 
 
-# The share of a transaction for what has waited longest, however urgent the rest is.
+# The share of each transaction that is reserved for aged changes.
 _AGED_SHARE = 0.25
 
 
 def fair_order(
-    queue: Sequence[PendingChange], last: float, most: int, waited_since: float
+    queue: Sequence[PendingChange], max_priority: float, max_operations: int, aged_before: float
 ) -> list[PendingChange]:
-    """In which order changes are put into a transaction.
+    """Return the order in which changes are evaluated for a transaction.
 
-    The more urgent first; but a part of each transaction goes to what has waited long, whatever
-    its priority.  Seen in a measured day: for as long as urgent work came, nothing else was
-    started.
+    Changes are ordered by priority, except that a share of each transaction is reserved for aged
+    changes of any priority but background: otherwise a steady flow of urgent changes would starve
+    the others.
 
     Args:
-        queue: all changes, the most urgent first.
-        last: the priority of the least urgent change to be taken.
-        most: how many puts and deletes the transaction may have.
-        waited_since: changes that have waited since before then have waited long; on the steady
-            clock, in seconds.
+        queue: all changes by priority.
+        max_priority: the highest priority value to be included; aged changes may exceed it.
+        max_operations: the maximum number of puts and deletes of the transaction.
+        aged_before: changes queued before this time are aged; on the steady clock, in seconds.
     """
-    ready = [change for change in queue if change.priority <= last]
-    aged = [c for c in queue if c.priority < PRIORITY_BACKGROUND and c.since < waited_since]
+    ready = [change for change in queue if change.priority <= max_priority]
+    aged = [c for c in queue if c.priority < PRIORITY_BACKGROUND and c.queued_at < aged_before]
     if not ready or not aged:
         return ready
-    aged.sort(key=lambda change: change.since)
-    reserved = max(1, int(_AGED_SHARE * most))
-    first = ready[: max(1, most - reserved)]
-    return list(dict.fromkeys([*first, *aged[:reserved], *ready]))
+    aged.sort(key=lambda change: change.queued_at)
+    reserved = max(1, int(_AGED_SHARE * max_operations))
+    urgent = ready[: max(1, max_operations - reserved)]
+    return list(dict.fromkeys([*urgent, *aged[:reserved], *ready]))
--- a/src/sandladder/state/store_limits.py
+++ b/src/sandladder/state/store_limits.py
@@ -1,8 +1,9 @@
-"""The sizes that the store accepts: by the settings, by those to come, and by its rejections.
+"""The store's size limits: as configured now, as configured for the future, and as observed.
 
-Once the records are of schema version 2 everything is written within the smaller of today's limits
-and those that may come into force without notice.  A rejection for size shrinks what is written;
-after a while the settings are trusted again.  Pure: no I/O, no clock.
+In schema version 2 all writes respect both the current limits and the smaller ones that may come
+into force without notice.  A rejection for size reduces the limits until `StoreLimits.reset`.
+
+Pure: no I/O, no clock.
 """
 
 import math
@@ -11,113 +12,114 @@
 from sandladder.model import SCHEMA_V1
 from sandladder.state.cache import StateCache
 
-# What of the limit on a value is left beside the key and the braces around the value.
-_VALUE_SHARE = 0.95
-# How many conditions a transaction may have for each put or delete.
-_CONDITIONS_PER_OP = 4
-# A job's record takes no more values than this, whatever a transaction may hold.
-_MOST_PARTS = 3
-# What a task alone on its machine takes of its job's record, in bytes, with gaps between the tasks
-# that are done: as it is, and compressed.
+# The share of the limit on a value that is used; the rest is for the key and the encoding.
+_VALUE_BYTES_SHARE = 0.95
+# The maximum number of expected versions per put or delete of a transaction.
+_CONDITIONS_PER_OPERATION = 4
+# The maximum number of values of a job's record, regardless of the transaction's limit.
+_MAX_PARTS = 3
+# The length of a live task in its job's record, uncompressed and compressed, in bytes, if each task
+# has a machine of its own and the finished tasks are not contiguous.
 _TASK_BYTES, _COMPRESSED_TASK_BYTES = 32, 20
-# The shares of an uncompressed record for live attempts and for the job itself.
+# The shares of an uncompressed record for the live attempts and for the job's spec.
 _LIVE_SHARE, _SPEC_SHARE = 0.7, 0.28
-# The share of a compressed record that is at least left for live attempts.
-_LEAST_LIVE_SHARE = 0.12
-# Every job may have this many live tasks.
-_LEAST_LIVE_TASKS = 8
-# Rejections shrink values by this factor, and not below this many bytes.
+# The minimum share of a compressed record for the live attempts.
+_MIN_LIVE_SHARE = 0.12
+# The minimum number of live tasks that a job may have.
+_MIN_LIVE_TASKS = 8
+# The factor by which a rejection reduces the length of values, and their minimum length.
 _VALUE_DECREASE = 0.7
-_LEAST_VALUE_BYTES = 256.0
+_MIN_VALUE_BYTES = 256.0
 
 
 class StoreLimits:
     """The limits in force, as far as they are known.
 
     Attributes:
-        today: the limits that the settings name.
-        least: the smallest that may come into force without notice.
+        configured: the current limits in the settings.
+        strictest: the smallest limits that may come into force without notice.
     """
 
     def __init__(self, state: StoreSettings, cache: StateCache) -> None:
         self.configured = state
-        self.least = state.strictest()
+        self.strictest = state.strictest()
         self._cache = cache
-        self._largest_txn_ops = math.inf
-        self._largest_value_bytes = math.inf
+        # Limits found by rejections.
+        self._observed_txn_ops = math.inf
+        self._observed_value_bytes = math.inf
 
     @property
     def _is_schema_v1(self) -> bool:
         return self._cache.schema_version == SCHEMA_V1
 
     @property
-    def _configured(self) -> StoreSettings:
-        return self.configured if self._is_schema_v1 else self.least
+    def _applicable(self) -> StoreSettings:
+        return self.configured if self._is_schema_v1 else self.strictest
 
     @property
     def txn_ops(self) -> int:
-        """How many puts and deletes a transaction may hold."""
-        return int(min(self._configured.txn_ops, self._largest_txn_ops))
+        """The maximum number of puts and deletes of a transaction."""
+        return int(min(self._applicable.txn_ops, self._observed_txn_ops))
 
     @property
     def conditions(self) -> int:
-        """How many expected versions a transaction may name."""
-        return _CONDITIONS_PER_OP * self.txn_ops
+        """The maximum number of expected versions of a transaction."""
+        return _CONDITIONS_PER_OPERATION * self.txn_ops
 
     @property
     def value_bytes(self) -> float:
-        """How long a value may be, in bytes."""
-        return min(self._configured.value_bytes * _VALUE_SHARE, self._largest_value_bytes)
+        """The maximum length of a value, in bytes."""
+        return min(self._applicable.value_bytes * _VALUE_BYTES_SHARE, self._observed_value_bytes)
 
     @property
     def max_parts(self) -> int:
-        """How many values a job's record may take: its end needs one change more."""
+        """The maximum number of values of a job's record."""
         if self._is_schema_v1:
             return 1
-        return max(1, min(_MOST_PARTS, self.txn_ops - 1))
+        # The transaction that ends a job needs one more operation.
+        return max(1, min(_MAX_PARTS, self.txn_ops - 1))
 
     def max_spec_bytes(self) -> float:
-        """How long a job's record may be while nothing of it is live, in bytes."""
+        """Return the maximum length of a job's record without live attempts, in bytes."""
         if self._is_schema_v1:
             return self.configured.value_bytes * _SPEC_SHARE
-        return self.max_parts * self.value_bytes * (1 - _LEAST_LIVE_SHARE)
+        return self.max_parts * self.value_bytes * (1 - _MIN_LIVE_SHARE)
 
     def max_live_tasks(self, spec_bytes: int = 512) -> int:
-        """How many tasks of a job may be live such that its record stays within the limits."""
+        """Return the maximum number of a job's live tasks such that its record fits the limits."""
         if self._is_schema_v1:
-            most = int(self.configured.value_bytes * _LIVE_SHARE / _TASK_BYTES)
+            tasks = int(self.configured.value_bytes * _LIVE_SHARE / _TASK_BYTES)
         else:
             free_bytes = self.max_parts * self.value_bytes - spec_bytes
-            most = int(free_bytes / _COMPRESSED_TASK_BYTES)
-        return max(_LEAST_LIVE_TASKS, most)
+            tasks = int(free_bytes / _COMPRESSED_TASK_BYTES)
+        return max(_MIN_LIVE_TASKS, tasks)
 
-    def shrink(self, changes: int, largest: int) -> bool:
-        """Shrink the limits: the store rejected a transaction as too large.
+    def shrink(self, operations: int, largest_value_bytes: int) -> bool:
+        """Reduce the limits after the store rejected a transaction as too large.
 
-        What was rejected is not tried again as it is: fewer changes at a time first, then shorter
-        values.
+        The number of operations is reduced first, then the length of values.
 
         Args:
-            changes: how many puts and deletes it had.
-            largest: the length of its longest value, in bytes.
+            operations: the number of puts and deletes of the transaction.
+            largest_value_bytes: the length of its longest value, in bytes.
 
         Returns:
-            False if a transaction cannot be made any smaller.
+            False if the limits cannot be reduced further.
         """
-        if changes > MIN_TXN_OPS:
-            self._largest_txn_ops = max(MIN_TXN_OPS, changes // 2)
+        if operations > MIN_TXN_OPS:
+            self._observed_txn_ops = max(MIN_TXN_OPS, operations // 2)
             return True
-        smaller = min(largest, self.value_bytes) * _VALUE_DECREASE
-        if self._is_schema_v1 or smaller < _LEAST_VALUE_BYTES:
+        value_bytes = min(largest_value_bytes, self.value_bytes) * _VALUE_DECREASE
+        if self._is_schema_v1 or value_bytes < _MIN_VALUE_BYTES:
             return False
-        self._largest_value_bytes = smaller
+        self._observed_value_bytes = value_bytes
         return True
 
     def reset(self) -> None:
-        """Go back to the settings: the cause of the rejections may be over."""
-        self._largest_txn_ops = self._largest_value_bytes = math.inf
+        """Return to the configured limits, as the cause of the rejections may have ended."""
+        self._observed_txn_ops = self._observed_value_bytes = math.inf
 
     @property
     def is_shrunk(self) -> bool:
-        """Whether a rejection made the limits smaller than the settings."""
-        return min(self._largest_txn_ops, self._largest_value_bytes) < math.inf
+        """Whether a rejection has reduced the limits."""
+        return min(self._observed_txn_ops, self._observed_value_bytes) < math.inf
--- a/src/sandladder/state/transaction.py
+++ b/src/sandladder/state/transaction.py
@@ -1,4 +1,4 @@
-"""A transaction being built: the records as it would leave them, and the versions it expects.
+"""A compare-and-swap transaction under construction: new records and expected versions.
 
 Pure: no I/O, no clock.
 """
@@ -17,20 +17,20 @@
 
 
 class Transaction:
-    """The records as one transaction would leave them, and the versions that it relies on.
+    """The records that one transaction writes, and the versions that it expects.
 
     Attributes:
-        cache: the records as they are.
-        value_bytes: how long a value may be, in bytes; longer records are split.
-        in_doubt: keys that a transaction without an answer relied on, at the version that it relied
-            on: nothing relies on them again before they have moved past it.
-        expected_versions: by key, the version at which it must be for the transaction to apply.
+        cache: the current records.
+        value_bytes: the maximum length of a value, in bytes; longer records are split.
+        in_doubt: by key, the version that a transaction of unknown outcome expected; no other
+            transaction may expect the same version.
+        expected_versions: by key, the version required for the transaction to be applied.
         jobs: by id, the jobs that it changes; None for those that it ends.
-        finished_jobs: by id, the outcomes of these.
+        finished_jobs: by id, the outcomes of the jobs that it ends.
         teams: by name, the team records that it changes, in schema version 1.
-        usage: by team, what the live attempts use, in version 2, where it differs from the cache.
-        instances: all instances, if it changes any.
-        other_records: by key, all other records.
+        usage: by team, the usage of live attempts where it differs from the cache, in version 2.
+        instances: all instances, or None if it changes none.
+        other_records: by key, the records of all other kinds.
     """
 
     def __init__(
@@ -49,39 +49,39 @@
         self.other_records: dict[str, LeasedValue] = {}
         self.instances: dict[str, Machine] | None = None
         self.expected_versions: dict[str, int] = {}
-        # By the record's key, how it is written; records that changed since are not among these.
+        # Encoded changes by record key; removed when the record changes again.
         self._encoded: dict[str, list[KeyChange]] = {}
 
     def copy(self) -> "Transaction":
-        """A copy to try one more change on; the original stays as it is."""
-        twin = Transaction(self.cache, self.value_bytes, self.in_doubt)
-        twin.jobs = {job_id: job.copy() if job else None for job_id, job in self.jobs.items()}
-        twin.teams, twin.usage = dict(self.teams), dict(self.usage)
-        twin.finished_jobs, twin.other_records = dict(self.finished_jobs), dict(self.other_records)
-        twin.instances, twin.expected_versions = self.instances, dict(self.expected_versions)
-        twin._encoded = dict(self._encoded)
-        return twin
+        """Return an independent copy on which another change can be evaluated."""
+        copy = Transaction(self.cache, self.value_bytes, self.in_doubt)
+        copy.jobs = {job_id: job.copy() if job else None for job_id, job in self.jobs.items()}
+        copy.teams, copy.usage = dict(self.teams), dict(self.usage)
+        copy.finished_jobs, copy.other_records = dict(self.finished_jobs), dict(self.other_records)
+        copy.instances, copy.expected_versions = self.instances, dict(self.expected_versions)
+        copy._encoded = dict(self._encoded)
+        return copy
 
     @property
     def is_schema_v1(self) -> bool:
-        """Whether controllers of the version before may read what is written."""
+        """Whether the records must stay readable for controllers of the previous version."""
         return self.cache.schema_version == SCHEMA_V1
 
     # Jobs and teams
 
     def job(self, job_id: str) -> Job | None:
-        """A job for changing, or None if it is not live or cannot be read."""
+        """Return a job to be changed, or None if it is not live or its record is unreadable."""
         self._encoded.pop(JOB_PREFIX + job_id, None)
         if job_id not in self.jobs:
-            found = self.cache.jobs.get(job_id)
-            if found is None or JOB_PREFIX + job_id in self.cache.unreadable:
+            cached_job = self.cache.jobs.get(job_id)
+            if cached_job is None or JOB_PREFIX + job_id in self.cache.unreadable:
                 return None
-            self.jobs[job_id] = found.copy()
+            self.jobs[job_id] = cached_job.copy()
             self.expected_versions[JOB_PREFIX + job_id] = self.cache.version(JOB_PREFIX + job_id)
         return self.jobs[job_id]
 
     def create(self, job: Job) -> None:
-        """Add a job that must exist neither live nor finished."""
+        """Add a new job; neither a live nor a finished job may have its id."""
         self._encoded.pop(JOB_PREFIX + job.id, None)
         self.jobs[job.id] = job
         self.expected_versions[JOB_PREFIX + job.id] = 0
@@ -90,13 +90,13 @@
     def finish(self, job: Job, state: str, now: float) -> None:
         """End a job without live attempts.
 
-        Where no older version reads it, the outcome takes the live job's place: one change instead
-        of two, and it is archived when there is time.
+        In schema version 2 the outcome replaces the live job's record, which takes one write
+        instead of two; the archiver moves it later.
 
         Args:
-            job: the job, as this transaction leaves it.
-            state: its outcome.
-            now: the time of day.
+            job: the job with the changes of this transaction.
+            state: the outcome.
+            now: the wall-clock time, in seconds.
         """
         self._encoded.pop(JOB_PREFIX + job.id, None)
         self.jobs[job.id] = None
@@ -104,65 +104,65 @@
         self.expected_versions[FINISHED_JOB_PREFIX + job.id] = 0
 
     def team(self, name: str) -> TeamUsage:
-        """A team's record in schema version 1, for changing."""
+        """Return a team's record in schema version 1, to be changed."""
         if name not in self.teams:
             self.teams[name] = self.cache.teams.get(name, TeamUsage())
             self.expected_versions[TEAM_PREFIX + name] = self.cache.version(TEAM_PREFIX + name)
         return self.teams[name]
 
     def usage_of(self, name: str) -> TeamUsage:
-        """What the live attempts of a team use, with the changes made here."""
+        """Return the usage of a team's live attempts, including this transaction's changes."""
         if self.is_schema_v1:
             return self.team(name)
         return self.usage.get(name, self.cache.usage.get(name, TeamUsage()))
 
     def change_usage(self, job: Job, tasks: int) -> None:
-        """Change what the job's team uses by so many tasks of the job; fewer if negative."""
+        """Add a number of the job's tasks to its team's usage; a negative number removes tasks."""
         name = job.spec.team
         if self.is_schema_v1:
             self.teams[name] = self.team(name).plus(job.spec, tasks)
         else:
-            # It follows from the records of the team's jobs; nothing is written of it.
+            # Usage is derived from the records of the team's jobs and is not written.
             self.usage[name] = self.usage_of(name).plus(job.spec, tasks)
 
     # Other records
 
     def put(self, key: str, value: Any, version: int, lease: int | None = None) -> None:
-        """Write a record, split if it is long; None: delete it.
+        """Write a record, split if it is too long, or delete it.
 
         Args:
             key: the record's key.
-            value: the record.
-            version: at which it must be; 0: it must not exist.
-            lease: the lease that it is attached to.
+            value: the record; None deletes it.
+            version: the expected version; 0 if the key must not exist.
+            lease: the lease to which the key is attached, if any.
         """
         self._encoded.pop(key, None)
         self.other_records[key] = LeasedValue(value, lease)
         self.expected_versions[key] = version
 
     def put_unsplit(self, key: str, value: Any, lease: int | None = None) -> None:
-        """Write one key as it stands in the cache, without splitting the value."""
+        """Write one key at the version in the cache, without splitting the value."""
         self.other_records[key] = LeasedValue(value, lease)
         self.expected_versions[key] = self.cache.version(key)
         self._encoded[key] = [KeyChange(key, value, lease)]
 
-    # What it comes to
+    # Encoding
 
     @property
     def size(self) -> int:
-        """How many puts and deletes this is."""
+        """The number of puts and deletes."""
         return len(self.changes())
 
     def changes(self) -> list[KeyChange]:
-        """The puts and deletes of everything changed."""
-        found: list[KeyChange] = []
+        """Return the puts and deletes of all changed records."""
+        changes: list[KeyChange] = []
         for job_id in self.jobs:
-            found += self._job_changes(job_id)
-        found += [
+            changes += self._job_changes(job_id)
+        changes += [
             KeyChange(TEAM_PREFIX + name, usage_value(team)) for name, team in self.teams.items()
         ]
         if self.is_schema_v1:
-            found += [
+            changes += [
                 KeyChange(
                     FINISHED_JOB_PREFIX + job_id,
                     finished_job_value(finished, self.cache.schema_version),
@@ -170,8 +170,8 @@
                 for job_id, finished in self.finished_jobs.items()
             ]
         for key, (value, lease) in self.other_records.items():
-            found += self._record_changes(key, value, lease)
-        return found
+            changes += self._record_changes(key, value, lease)
+        return changes
 
     def _job_changes(self, job_id: str) -> list[KeyChange]:
         key = JOB_PREFIX + job_id
@@ -185,7 +185,7 @@
         return self._record_changes(key, value)
 
     def _record_changes(self, key: str, value: Any, lease: int | None = None) -> list[KeyChange]:
-        """How a record is written: as it is, or split over several keys."""
+        """Return the changes that write a record, split over several keys if it is too long."""
         if key not in self._encoded:
             may_split = not self.is_schema_v1 and value is not None
             values = split_value(value, self.value_bytes) if may_split else [value]
@@ -196,21 +196,24 @@
 def part_changes(
     cache: StateCache, key: str, values: list[Any], lease: int | None = None
 ) -> list[KeyChange]:
-    """The puts of a record's values, and the deletion of parts that it no longer has."""
+    """Return the puts of a record's values, and the deletes of parts that it no longer has."""
     keys = [key, *(continuation_key(key, index) for index in range(1, len(values)))]
     puts = [
-        KeyChange(name, value, lease if value is not None else None)
-        for name, value in zip(keys, values, strict=True)
+        KeyChange(part_key, value, lease if value is not None else None)
+        for part_key, value in zip(keys, values, strict=True)
     ]
     return puts + [
-        KeyChange(name, None) for name in cache.continuation_keys(key) if name not in keys
+        KeyChange(part_key, None)
+        for part_key in cache.continuation_keys(key)
+        if part_key not in keys
     ]
 
 
 def fence_assignment(transaction: Transaction, key: str) -> bool:
-    """Write a team's assignment as it is, so that a start bound to its version cannot arrive.
+    """Rewrite a team's assignment unchanged, so that a late start expecting its version conflicts.
 
-    False if nothing is in doubt about it any more.
+    Returns:
+        False if no transaction of unknown outcome expects the current version.
     """
     version = transaction.cache.version(key)
     assignment = transaction.cache.assignments.get(key[len(TEAM_PREFIX) :])
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -175,13 +175,13 @@
         queue += [PendingChange(f"work {n}", PRIORITY_JOB, 1, put("s/p/x")) for n in range(2)]
         queue += [PendingChange("idle", PRIORITY_BACKGROUND, 1, put("s/p/x"))]
         for change in queue:
-            change.since = 10.0
+            change.queued_at = 10.0
         aged = [
-            change.name for change in fair_order(queue, PRIORITY_BACKGROUND, 4, waited_since=5.0)
+            change.name for change in fair_order(queue, PRIORITY_BACKGROUND, 4, aged_before=5.0)
         ]
-        queue[9].since = 1.0
+        queue[9].queued_at = 1.0
         return aged, [
-            change.name for change in fair_order(queue, PRIORITY_BACKGROUND, 4, waited_since=5.0)
+            change.name for change in fair_order(queue, PRIORITY_BACKGROUND, 4, aged_before=5.0)
         ]
 
     by_priority, fair = anyio.run(main)
