--- a/src/sandladder/state/cache/__init__.py
+++ b/src/sandladder/state/cache/__init__.py
@@ -1,7 +1,7 @@
-"""The local copy of the records, in layers: jobs, records of every kind, and their versions.
+"""The cache of the records, in layers: jobs, records of all kinds, keys with their versions.
 
-Pure: no I/O, no clock.  Where the order of iteration may matter, sets are kept as dictionaries: the
-order of a set depends on the process, and with it what a controller would do next.
+Pure: no I/O, no clock.  Where iteration order may affect behavior, dictionaries are used as sets:
+the iteration order of a `set` differs between processes.
 """
 
 from sandladder.state.cache.state_cache import StateCache
--- a/src/sandladder/state/cache/attempt_index.py
+++ b/src/sandladder/state/cache/attempt_index.py
@@ -1,33 +1,36 @@
-"""Which committed attempts are on which machine, and of which agent epochs."""
+"""An index of the live attempts by machine and agent epoch."""
 
 from sandladder.model import Attempt
 
 
 class AttemptIndex:
-    """An index by machine over the live attempts of all jobs."""
+    """An index of the live attempts of all jobs.
+
+    Attributes:
+        by_machine: by machine, the (job, task) of each live attempt.
+        epochs: by machine, the number of live attempts of each agent epoch.
+    """
 
     def __init__(self) -> None:
-        # By machine, the job and task of each live attempt.
         self.by_machine: dict[str, dict[tuple[str, int], None]] = {}
-        # By machine, the number of live attempts of each agent epoch.
         self.epochs: dict[str, dict[int, int]] = {}
 
     def remove(self, job_id: str, task: int, attempt: Attempt) -> None:
-        """An attempt is not live any more."""
+        """Remove an attempt that has ended."""
         tasks = self.by_machine[attempt.machine]
         tasks.pop((job_id, task), None)
         if not tasks:
             del self.by_machine[attempt.machine]
-        self._count(attempt, -1)
+        self._adjust_epoch_count(attempt, -1)
 
     def add(self, job_id: str, task: int, attempt: Attempt) -> None:
-        """An attempt is live now."""
+        """Add a live attempt."""
         self.by_machine.setdefault(attempt.machine, {})[job_id, task] = None
-        self._count(attempt, 1)
+        self._adjust_epoch_count(attempt, 1)
 
-    def _count(self, attempt: Attempt, number: int) -> None:
+    def _adjust_epoch_count(self, attempt: Attempt, delta: int) -> None:
         epochs = self.epochs.setdefault(attempt.machine, {})
-        epochs[attempt.agent_epoch] = epochs.get(attempt.agent_epoch, 0) + number
+        epochs[attempt.agent_epoch] = epochs.get(attempt.agent_epoch, 0) + delta
         if not epochs[attempt.agent_epoch]:
             del epochs[attempt.agent_epoch]
             if not epochs:
--- a/src/sandladder/state/cache/instances.py
+++ b/src/sandladder/state/cache/instances.py
@@ -1,4 +1,4 @@
-"""The instances that the cloud runs for the cluster, by the records that contain them."""
+"""The cluster's cloud instances, decoded from chunked records."""
 
 from typing import Any
 
@@ -7,16 +7,21 @@
 
 
 class Instances:
-    """All instances, and which names each record contains."""
+    """All instances, and the names in each chunk.
+
+    Attributes:
+        by_name: the instances by name.
+        chunks: by chunk, the names of its instances.
+    """
 
     def __init__(self) -> None:
         self.by_name: dict[str, Machine] = {}
-        self.chunks: dict[int, list[str]] = {}  # the names in each record
+        self.chunks: dict[int, list[str]] = {}
 
     def set_chunk(self, chunk: int, value: Any) -> None:
-        """The record of one chunk was written; None: deleted.
+        """Replace the instances of one chunk by its new record; None is a deleted record.
 
-        A malformed record raises whatever its decoding raises, and changes nothing.
+        A malformed record raises its decoding error and changes nothing.
         """
         machines = {} if value is None else read_instances(value)
         for machine in self.chunks.pop(chunk, ()):
--- a/src/sandladder/state/cache/inventories.py
+++ b/src/sandladder/state/cache/inventories.py
@@ -1,4 +1,4 @@
-"""The machine inventories of all controllers, put together from their parts."""
+"""The machine inventories of all controllers, joined from their parts."""
 
 from typing import Any
 
@@ -7,16 +7,25 @@
 
 
 class Inventories:
-    """By controller, the latest inventory that was read as a whole."""
+    """The latest complete inventory of each controller.
+
+    Attributes:
+        by_node: the inventories by controller.
+    """
 
     def __init__(self) -> None:
         self.by_node: dict[str, MachineInventory] = {}
         self._parts: dict[str, dict[int, Any]] = {}
 
     def set_part(self, node: str, index: int, value: Any) -> None:
-        """A part of an inventory was written; None: deleted.
+        """Set one part of an inventory, and join the parts if they are complete.
+
+        A malformed part raises its decoding error.
 
-        A malformed part raises whatever its decoding raises.
+        Args:
+            node: the controller whose inventory it is.
+            index: the index of the part.
+            value: the part's value, or None if it was deleted.
         """
         parts = self._parts.setdefault(node, {})
         if value is None:
@@ -27,12 +36,12 @@
             self.by_node.pop(node, None)
             return
         count = part_count(parts[0])
-        # Parts arrive one after the other; until the last one the former inventory is kept.
+        # The previous inventory stays in use until all parts of the new one have arrived.
         if all(index in parts for index in range(count)):
             inventory = read_inventory([parts[index] for index in range(count)])
             if inventory is not None:
                 self.by_node[node] = inventory
 
     def nodes_with_record(self) -> set[str]:
-        """The controllers of which there is a first part, whether it could be read or not."""
+        """Return the controllers whose first part exists, readable or not."""
         return {node for node, parts in self._parts.items() if 0 in parts}
--- a/src/sandladder/state/cache/job_tables.py
+++ b/src/sandladder/state/cache/job_tables.py
@@ -1,4 +1,4 @@
-"""The records of jobs, and what is derived from all of them together."""
+"""The records of jobs, with the indexes derived from them."""
 
 from collections import OrderedDict
 from collections.abc import Iterable, Iterator
@@ -15,97 +15,106 @@
 from sandladder.state.cache.attempt_index import AttemptIndex
 from sandladder.state.codecs.jobs import read_finished_job, read_job
 
-FINISHED_JOBS_KEPT = 4096
+FINISHED_JOBS_KEPT = 4096  # in memory; older ones are read from the store
 
 
 class JobTables:
     """Live and finished jobs, with indexes by machine, team and dependency.
 
-    Whoever handles changes takes over `changed_machines` and `started_tasks` and replaces them by
-    empty ones; nothing else here is changed from outside.
+    The handler of changes reads `changed_machines` and `started_tasks` and replaces them by empty
+    dictionaries; no other attribute may be changed by callers.
+
+    Attributes:
+        jobs: the live jobs by id.
+        dependency_index: the dependencies between jobs.
+        usage: by team, the usage of its live attempts.
+        attempts_by_machine: by machine, the (job, task) of each live attempt.
+        agent_epochs: by machine, the number of live attempts of each agent epoch.
+        finished_jobs: the latest finished jobs by id.
+        unarchived: by id, the finished jobs that are still stored under the live job's key.
+        cancelled: the live jobs that are cancelled.
+        changed_machines: the machines whose live attempts changed since the last replacement.
+        started_tasks: the (job, task) of each new attempt since the last replacement.
     """
 
     def __init__(self) -> None:
         self.jobs: dict[str, Job] = {}
         self.dependency_index = DependencyIndex(self.jobs)
-        self.usage: dict[str, TeamUsage] = {}  # by team, of its live attempts
+        self.usage: dict[str, TeamUsage] = {}
         self._attempts = AttemptIndex()
-        # Its dictionaries are shared, so that reading them costs no call.
+        # The index's dictionaries are shared to avoid a call on each access.
         self.attempts_by_machine = self._attempts.by_machine
         self.agent_epochs = self._attempts.epochs
-        # The outcomes of the latest finished jobs; and of all whose record stands in the live
-        # job's place still.
         self.finished_jobs: OrderedDict[str, FinishedJob] = OrderedDict()
         self.unarchived: dict[str, FinishedJob] = {}
-        # Live jobs that are cancelled; and those that a peer has named as cancelled since the last
-        # read of the store, with the time: good enough for stopping, and for nothing else.
         self.cancelled: dict[str, None] = {}
+        # Jobs that peers reported as cancelled since the last read of the store, with the time on
+        # the steady clock.  Sufficient for stopping tasks only, as the store is authoritative.
         self._cancelled_by_peers: dict[str, float] = {}
-        # Machines whose committed starts changed, and tasks that were started or done, since they
-        # were last taken over.
         self.changed_machines: dict[str, None] = {}
         self.started_tasks: dict[tuple[str, int], None] = {}
 
-    # Questions
+    # Queries
 
     def finished_job(self, job_id: str) -> FinishedJob | None:
-        """The outcome of a job, or None if it is not finished or no longer in memory."""
+        """Return a job's outcome, or None if it is not finished or not in memory."""
         return self.unarchived.get(job_id) or self.finished_jobs.get(job_id)
 
     def is_cancelled(self, job_id: str) -> bool:
-        """Whether a job is certainly cancelled, so that its running tasks are to be stopped."""
+        """Return whether a job is known to be cancelled, so that its tasks must be stopped."""
         if job_id in self.cancelled or job_id in self._cancelled_by_peers:
             return True
         finished = self.finished_job(job_id)
         return finished is not None and finished.state == CANCELLED
 
     def attempts_on(self, machine: str) -> Iterator[tuple[Job, int, Attempt]]:
-        """The committed starts on a machine whose end is not proved."""
+        """Yield the (job, task, attempt) of each live attempt on a machine."""
         for job_id, task in self.attempts_by_machine.get(machine, ()):
             job = self.jobs[job_id]
             yield job, task, job.live[task]
 
-    # Changes
+    # Updates
 
-    def add_finished_job(self, job_id: str, final: FinishedJob) -> None:
-        """Keep the outcome of a finished job, among the latest such."""
-        self.dependency_index.note_finished(job_id, final)
-        self.finished_jobs[job_id] = final
+    def add_finished_job(self, job_id: str, finished: FinishedJob) -> None:
+        """Add a finished job; the oldest is evicted from memory if there are too many."""
+        self.dependency_index.note_finished(job_id, finished)
+        self.finished_jobs[job_id] = finished
         if len(self.finished_jobs) > FINISHED_JOBS_KEPT:
             self.finished_jobs.popitem(last=False)
 
     def add_peer_cancellations(self, job_ids: Iterable[str], now: float) -> list[str]:
-        """A peer has read or committed that these jobs are cancelled.
+        """Add jobs that a peer has read or committed as cancelled.
 
         Args:
-            job_ids: the jobs that it names.
+            job_ids: the cancelled jobs.
             now: the time on the steady clock, in seconds.
 
         Returns:
-            Those of which this was not known.
+            The jobs that were not known to be cancelled.
         """
         new = [job_id for job_id in job_ids if not self.is_cancelled(job_id)]
         self._cancelled_by_peers |= dict.fromkeys(new, now)
         return new
 
-    def expire_peer_cancellations(self, sent: float) -> None:
-        """The cache holds everything committed before `sent`, on the steady clock.
+    def expire_peer_cancellations(self, synced_until: float) -> None:
+        """Remove peers' reports from before the last read, whose records the cache now holds.
 
-        What peers said before then is among it, or was not so.
+        Args:
+            synced_until: the cache holds all commits before this time on the steady clock.
         """
         if self._cancelled_by_peers:
             self._cancelled_by_peers = {
-                job_id: at for job_id, at in self._cancelled_by_peers.items() if at >= sent
+                job_id: at for job_id, at in self._cancelled_by_peers.items() if at >= synced_until
             }
 
     def set_job_record(self, job_id: str, value: Any, version: int) -> None:
-        """A job's record was written at a version of the store; None: deleted.
+        """Replace a job's record by its value at a version; None is a deleted record.
 
-        A malformed record raises whatever its decoding raises.
+        A malformed record raises its decoding error.
         """
-        # A list in a job's place is its outcome, until there is time to archive it.
+        # A list under a live job's key is the outcome of a job that is not archived yet.
         is_finished = isinstance(value, list)
-        finished = read_finished_job(value, version, filed=False) if is_finished else None
+        finished = read_finished_job(value, version, archived=False) if is_finished else None
         self._set_live(job_id, None if is_finished else value)
         self.unarchived.pop(job_id, None)
         if finished is not None:
@@ -133,7 +142,7 @@
         )
 
     def _update_usage(self, old: Job | None, new: Job | None) -> None:
-        """Adjust what the job's team uses by the change in the number of live attempts."""
+        """Adjust the usage of the job's team by the change in the number of live attempts."""
         tasks = (len(new.live) if new is not None else 0) - (
             len(old.live) if old is not None else 0
         )
@@ -154,7 +163,7 @@
     def _update_attempts(
         self, job_id: str, before: dict[int, Attempt], after: dict[int, Attempt]
     ) -> None:
-        """Index the attempts that are new, and drop those that are not live any more."""
+        """Add new attempts to the index, and remove those that have ended."""
         for task, attempt in before.items():
             if after.get(task) != attempt:
                 self.changed_machines[attempt.machine] = None
--- a/src/sandladder/state/cache/record_tables.py
+++ b/src/sandladder/state/cache/record_tables.py
@@ -1,4 +1,4 @@
-"""The records of every kind, decoded."""
+"""The decoded records of all kinds."""
 
 from collections.abc import Callable
 from typing import Any
@@ -28,26 +28,42 @@
 
 
 class RecordTables(JobTables):
-    """What the records say, by kind: jobs, teams, controllers, machines."""
+    """The records of jobs, teams, controllers and machines.
+
+    Attributes:
+        schema_version: the schema version of the records.
+        supported_versions: by controller, the newest schema version that it has recorded as
+            supported.
+        versions: the version of each key, except those of archived jobs.
+        teams: by team, its usage as schema version 1 records it.
+        assignments: by team, its assignment in schema version 2.
+        roster: the roster's members by controller.
+        machine_types: the cloud's machine types by name.
+        autoscaler_node: the controller that runs the autoscaler, if any.
+        fencing_token: the last fencing token that was issued.
+        inventories: the latest complete inventory of each controller.
+        instances: the cloud instances by name.
+        instance_chunks: by chunk, the names of its instances.
+    """
 
     def __init__(self) -> None:
         super().__init__()
-        self.schema_version = SCHEMA_V1  # of the records
-        self.supported_versions: dict[str, int] = {}  # by controller, as far as it has said so
-        self.versions: dict[str, int] = {}  # by key; archived jobs are not among them
-        self.teams: dict[str, TeamUsage] = {}  # as schema version 1 records it
-        self.assignments: dict[str, TeamAssignment] = {}  # in schema version 2
+        self.schema_version = SCHEMA_V1
+        self.supported_versions: dict[str, int] = {}
+        self.versions: dict[str, int] = {}
+        self.teams: dict[str, TeamUsage] = {}
+        self.assignments: dict[str, TeamAssignment] = {}
         self.roster: dict[str, Member] = {}
         self.machine_types: dict[str, MachineType] = {}
         self.autoscaler_node: str | None = None
-        self.fencing_token = 0  # the last fencing token that was given out
+        self.fencing_token = 0
         self._inventories = Inventories()
         self._instances = Instances()
-        # Their dictionaries are shared, so that reading them costs no call.
+        # Their dictionaries are shared to avoid a call on each access.
         self.inventories = self._inventories.by_node
         self.instances = self._instances.by_name
         self.instance_chunks = self._instances.chunks
-        # How each kind of record is read: a single record by its key, others by their prefix.
+        # Decoders of the records: by key for single records, by prefix for the others.
         self._single_readers: dict[str, Callable[[Any], None]] = {
             SCHEMA_VERSION_KEY: self._read_schema_version,
             SUPPORTED_VERSIONS_KEY: self._read_supported_versions,
@@ -64,13 +80,13 @@
         }
 
     def version(self, key: str) -> int:
-        """The version of a key; 0 if there is no such key."""
+        """Return the version of a key, or 0 if the key does not exist."""
         return self.versions.get(key, 0)
 
     def _read(self, key: str, value: Any) -> None:
-        """Decode a record; None: it was deleted.  Keys of other kinds are ignored.
+        """Decode a record; None is a deleted record.  Unknown keys are ignored.
 
-        A malformed record raises whatever its decoding raises.
+        A malformed record raises its decoding error.
         """
         read_single = self._single_readers.get(key)
         if read_single is not None:
@@ -107,13 +123,13 @@
 
     def _read_team(self, key: str, value: Any) -> None:
         name = last_component(key)
-        found = TeamUsage() if value is None else read_team(value)
+        team = TeamUsage() if value is None else read_team(value)
         self.teams.pop(name, None)
         self.assignments.pop(name, None)
-        if isinstance(found, TeamAssignment):
-            self.assignments[name] = found
+        if isinstance(team, TeamAssignment):
+            self.assignments[name] = team
         elif value is not None:
-            self.teams[name] = found
+            self.teams[name] = team
 
     def _read_job(self, key: str, value: Any) -> None:
         self.set_job_record(last_component(key), value, self.version(key))
--- a/src/sandladder/state/cache/split_records.py
+++ b/src/sandladder/state/cache/split_records.py
@@ -1,4 +1,4 @@
-"""Records whose value is split over several keys, put together as their parts arrive."""
+"""Records whose values are split over several keys, joined as their parts arrive."""
 
 from typing import Any
 
@@ -8,7 +8,7 @@
 
 
 class SplitRecords:
-    """The parts of split records, and which records are to be joined again."""
+    """The parts of split records, and the records whose parts have changed."""
 
     def __init__(self) -> None:
         self._heads: dict[str, StoredValue] = {}
@@ -22,21 +22,21 @@
 
     @property
     def unjoined(self) -> list[str]:
-        """The keys of records some part of which changed since they were last joined."""
+        """The keys of records of which a part changed since they were last joined."""
         return list(self._unjoined)
 
     def set_head(self, key: str, value: Any, version: int) -> None:
-        """The first part of a record was written."""
+        """Set the first part of a record."""
         self._heads[key] = StoredValue(value, version)
         self._unjoined[key] = None
 
     def discard_head(self, key: str) -> None:
-        """A record is not split any more, or was deleted."""
+        """Remove the first part of a record that is no longer split, or was deleted."""
         self._heads.pop(key, None)
         self._unjoined.pop(key, None)
 
     def set_continuation(self, key: str, value: Any, version: int) -> None:
-        """A further part, under its own key, was written; None: deleted."""
+        """Set a part other than the first, or remove it if the value is None."""
         record, index = parse_continuation_key(key)
         parts = self._continuations.setdefault(record, {})
         if value is None:
@@ -49,13 +49,13 @@
             self._unjoined[record] = None
 
     def continuation_keys(self, key: str) -> list[str]:
-        """The keys of a record's further parts that exist."""
+        """Return the existing keys of a record's parts other than the first."""
         return [continuation_key(key, index) for index in self._continuations.get(key, ())]
 
     def join(self, key: str) -> Any:
-        """The value of a record, which is no longer unjoined; None while parts do not match.
+        """Return the value of a record, or None while its parts do not match.
 
-        A malformed part raises whatever its decoding raises.
+        A malformed part raises its decoding error.
         """
         value = join_value(self._heads[key], self._continuations.get(key, {}))
         if value is not None:
--- a/src/sandladder/state/cache/state_cache.py
+++ b/src/sandladder/state/cache/state_cache.py
@@ -1,4 +1,4 @@
-"""A controller's copy of the records."""
+"""A controller's cache of the records in the key-value store."""
 
 import logging
 from collections.abc import Iterable, Sequence
@@ -20,104 +20,132 @@
 
 
 class StateCache(RecordTables):
-    """The records as of a revision, kept current by the watch and by our own commits.
+    """The records as of a revision, updated by the watch and by this controller's commits.
 
-    Changes may arrive twice and in either order: older ones are ignored, by the version of each
-    key.  A record that cannot be read is logged and noted as unreadable, and changes nothing else;
-    only a schema version that this program does not support is raised (UnknownSchemaVersionError).
+    A change may arrive twice, or after a newer one: changes older than a key's version are ignored.
+    A malformed record is logged and marked as unreadable, and does not affect other records.
+
+    Attributes:
+        revision: the store's revision up to which all changes have been applied.
+        unreadable: the keys of malformed records; no action may depend on these.
     """
 
     def __init__(self) -> None:
         super().__init__()
         self.revision = 0
-        # Records that cannot be read: nothing is done that depends on them.
         self.unreadable: set[str] = set()
         self._split = SplitRecords()
-        # Keys that our own commits moved past `revision`: older changes of them are ignored.
-        self._ahead: dict[str, int] = {}
+        # Keys that this controller's commits changed after `revision`, with the commit's revision:
+        # older changes of these keys are ignored.
+        self._own_commits: dict[str, int] = {}
 
     def continuation_keys(self, key: str) -> list[str]:
-        """The keys of a record's further parts that exist."""
+        """Return the existing keys of a split record's continuations."""
         return self._split.continuation_keys(key)
 
     @property
     def unreadable_nodes(self) -> set[str]:
-        """Controllers that have an inventory which could never be read."""
-        heads = self._inventories.nodes_with_record()
-        heads |= {
+        """The controllers whose inventory exists and has never been readable."""
+        nodes = self._inventories.nodes_with_record()
+        nodes |= {
             key[len(INVENTORY_PREFIX) :]
             for key in self._split.heads
             if key.startswith(INVENTORY_PREFIX)
         }
-        return heads - self.inventories.keys()
+        return nodes - self.inventories.keys()
 
     def starts_blocked(self, team: str) -> bool:
-        """Whether the team's usage cannot be known, so that nothing of it may start."""
-        jobs = (key[len(JOB_PREFIX) :] for key in self.unreadable if key.startswith(JOB_PREFIX))
-        known = (self.jobs.get(job_id) for job_id in jobs)
-        return any(job is None or job.spec.team == team for job in known)
+        """Return whether the team's usage may be unknown, so that none of its tasks may start."""
+        job_ids = (key[len(JOB_PREFIX) :] for key in self.unreadable if key.startswith(JOB_PREFIX))
+        last_readable = (self.jobs.get(job_id) for job_id in job_ids)
+        return any(job is None or job.spec.team == team for job in last_readable)
 
     def reset(self, revision: int, items: Sequence[tuple[str, Any, int]]) -> dict[str, None]:
-        """Replace everything by a full read of the store.
+        """Replace all records by a full read of the store.
 
         Args:
-            revision: as of which the entries are complete at least.
-            items: (key, value, version) of each entry.
+            revision: the revision up to which the read is complete; it may include later changes.
+            items: (key, value, version) of each key.
 
         Returns:
             The keys whose records may have changed.
+
+        Raises:
+            UnknownSchemaVersionError: this program does not support the records.
         """
         changed: dict[str, None] = {}
         present = {key for key, _, _ in items}
         for key in [key for key in self.versions if key not in present]:
-            if self._ahead.get(key, 0) <= revision:
+            if self._own_commits.get(key, 0) <= revision:
                 self._set(key, None, 0)
                 changed[key] = None
         for key, value, version in items:
-            if version > self._ahead.get(key, 0) and version != self.version(key):
+            if version > self._own_commits.get(key, 0) and version != self.version(key):
                 self._set(key, value, version)
                 changed[key] = None
-        # Read page by page: parts that do not match are corrected by the changes that follow,
-        # before anyone acts on them.
-        changed |= self._join()
+        # The pages of a read may differ in revision: parts that do not match are corrected by the
+        # changes that the watch applies next, before the records are used.
+        changed |= self._join_split_records()
         self._advance(max(revision, self.revision))
         return changed
 
     def apply(self, revision: int, events: Iterable[tuple[str, Any, int]]) -> dict[str, None]:
-        """Apply the changes (key, value, version) up to `revision`; the keys that changed."""
+        """Apply the store's changes up to a revision.
+
+        Args:
+            revision: the revision up to which the changes are complete.
+            events: (key, value, version) of each change; the value None is a deletion.
+
+        Returns:
+            The keys that changed.
+
+        Raises:
+            UnknownSchemaVersionError: this program does not support the records.
+        """
         changed: dict[str, None] = {}
         for key, value, version in events:
-            if version <= self.revision or version <= self._ahead.get(key, 0):
+            if version <= self.revision or version <= self._own_commits.get(key, 0):
                 continue
             self._set(key, value, 0 if value is None else version)
             changed[key] = None
-        changed |= self._join()
+        changed |= self._join_split_records()
         for key in [key for key in self._split.unjoined if key not in self.unreadable]:
-            self._mark_unreadable(key, "its parts were not written together")
+            self._mark_unreadable(key, "its parts are of different transactions")
         self._advance(max(revision, self.revision))
         return changed
 
     def apply_own_commit(
         self, revision: int, changes: Iterable[tuple[str, Any]]
     ) -> dict[str, None]:
-        """Apply a commit of our own, as (key, value) of each change; the keys that changed."""
+        """Apply a commit of this controller.
+
+        Args:
+            revision: the revision of the commit.
+            changes: (key, value) of each change; the value None is a deletion.
+
+        Returns:
+            The keys that changed.
+
+        Raises:
+            UnknownSchemaVersionError: this program does not support the records.
+        """
         changed: dict[str, None] = {}
         for key, value in changes:
-            if revision <= max(self.version(key), self._ahead.get(key, 0)):
+            if revision <= max(self.version(key), self._own_commits.get(key, 0)):
                 continue
             if revision > self.revision:
-                self._ahead[key] = revision
+                self._own_commits[key] = revision
             self._set(key, value, 0 if value is None else revision)
             changed[key] = None
-        return changed | self._join()
+        return changed | self._join_split_records()
 
     def _advance(self, revision: int) -> None:
         self.revision = revision
-        if self._ahead:
-            self._ahead = {key: at for key, at in self._ahead.items() if at > revision}
+        if self._own_commits:
+            self._own_commits = {key: at for key, at in self._own_commits.items() if at > revision}
 
     def _set(self, key: str, value: Any, version: int) -> None:
-        """Take in the value of one key: a record, or a part of one."""
+        """Set the value and version of one key, which holds a record or a part of one."""
         if key.startswith(FINISHED_JOB_PREFIX):
             self._set_archived(key, value, version)
             return
@@ -131,10 +159,10 @@
             self._split.set_head(key, value, version)
         else:
             self._split.discard_head(key)
-            self._take(key, value)
+            self._read_or_mark(key, value)
 
     def _set_archived(self, key: str, value: Any, version: int) -> None:
-        # Finished jobs never change; only the latest are kept, others are read again.
+        # An archived job never changes.  Only the latest are cached; others are read on demand.
         if value is None:
             return
         try:
@@ -142,10 +170,10 @@
                 key[len(FINISHED_JOB_PREFIX) :], read_finished_job(value, version)
             )
         except Exception as error:  # noqa: BLE001 (any malformed record)
-            log.error("the record %s cannot be read: %s", key, error)
+            log.error("record %s is unreadable: %s", key, error)
 
-    def _join(self) -> dict[str, None]:
-        """Read the split records whose parts changed; the keys of those that are whole."""
+    def _join_split_records(self) -> dict[str, None]:
+        """Decode the split records whose parts changed and match, and return their keys."""
         joined: dict[str, None] = {}
         for key in self._split.unjoined:
             try:
@@ -154,12 +182,12 @@
                 self._mark_unreadable(key, repr(error))
                 continue
             if value is not None:
-                self._take(key, value)
+                self._read_or_mark(key, value)
                 joined[key] = None
         return joined
 
-    def _take(self, key: str, value: Any) -> None:
-        """Take in a record; one that cannot be read stops nothing but what depends on it."""
+    def _read_or_mark(self, key: str, value: Any) -> None:
+        """Decode a record, or mark it as unreadable if it is malformed."""
         try:
             self._read(key, value)
         except UnknownSchemaVersionError:
@@ -169,6 +197,6 @@
         else:
             self.unreadable.discard(key)
 
-    def _mark_unreadable(self, key: str, why: str) -> None:
-        log.error("the record %s cannot be read: %s", key, why)
+    def _mark_unreadable(self, key: str, reason: str) -> None:
+        log.error("record %s is unreadable: %s", key, reason)
         self.unreadable.add(key)
