--- a/src/sandladder/state/codecs/__init__.py
+++ b/src/sandladder/state/codecs/__init__.py
@@ -1,7 +1,7 @@
-"""How records are encoded: for each kind of record, one module that writes and reads its value.
+"""Codecs of the stored records, one module for each kind of record.
 
-Pure functions between the types of `sandladder.model` and values that JSON and CBOR can hold.  Each
-stored form is written here and nowhere else; `docs/upgrading.md` says what may be added to which.
-A reader raises whatever its conversion raises (ValueError, KeyError, TypeError, msgspec's errors):
-the cache marks such a record as unreadable.
+Pure functions between the types of `sandladder.model` and values that JSON and CBOR can represent.
+No other module encodes or decodes a stored record; `docs/upgrading.md` defines which records may be
+extended.  A decoder raises its conversion's error (ValueError, KeyError, TypeError, msgspec's
+errors) for a malformed record, which the cache then marks as unreadable.
 """
--- a/src/sandladder/state/codecs/instances.py
+++ b/src/sandladder/state/codecs/instances.py
@@ -1,4 +1,4 @@
-"""The records of instances, and of the machine types that the cloud offers."""
+"""The records of cloud instances and machine types."""
 
 from typing import Any
 
@@ -7,14 +7,13 @@
 from sandladder.model import DRAINING, GONE, RENTED, Machine, MachineType
 from sandladder.state.codecs.machine_names import long_name, short_name
 
-# By their position in the record.
-_STATES = (RENTED, DRAINING, GONE)
-# What a machine takes in an instance record, in bytes: its name, type, state and time of day.
+_STATES = (RENTED, DRAINING, GONE)  # records hold the index
+# The length of an instance's row in a record, in bytes: number, type, state and time.
 INSTANCE_RECORD_BYTES = 32
 
 
 def instances_value(instances: dict[str, Machine]) -> dict[str, Any]:
-    """The record of some machines, with a table of what many have in common."""
+    """Encode instances as a record, with a table of their (type, zone, spot) combinations."""
     kinds: dict[tuple[str, str, bool], int] = {}
     rows = [
         [
@@ -29,19 +28,19 @@
 
 
 def read_instances(value: dict[str, Any]) -> dict[str, Machine]:
-    """The machines of an instance record, by name."""
-    found = {}
-    for name, place, state, since in value["m"]:
-        kind, zone, spot = value["k"][place]
-        found[long_name(name)] = Machine(kind, zone, spot, _STATES[state], since)
-    return found
+    """Decode an instance record into its instances by name."""
+    instances = {}
+    for name, kind_index, state, since in value["m"]:
+        machine_type, zone, spot = value["k"][kind_index]
+        instances[long_name(name)] = Machine(machine_type, zone, spot, _STATES[state], since)
+    return instances
 
 
 def types_value(types: dict[str, MachineType]) -> Any:
-    """The record of the machine types, by name."""
+    """Encode the machine types by name."""
     return msgspec.to_builtins(types)
 
 
 def read_types(value: Any) -> dict[str, MachineType]:
-    """Read the record of the machine types; an absent one holds none."""
+    """Decode the record of the machine types; an absent record is empty."""
     return msgspec.convert(value or {}, dict[str, MachineType], strict=False)
--- a/src/sandladder/state/codecs/inventory.py
+++ b/src/sandladder/state/codecs/inventory.py
@@ -1,7 +1,7 @@
 """The records of a controller's machine inventory.
 
-In schema version 1 an inventory that is too long for one value is written in several parts, each of
-which holds some of the machines; in version 2 it is one record, compressed and split.
+In schema version 1 an inventory that exceeds one value is written in several parts, each with some
+of the machines; in version 2 it is one record, compressed and split.
 """
 
 from typing import Any
@@ -14,21 +14,27 @@
 from sandladder.state.codecs.split_values import split_value
 
 _AGE_STEPS_PER_S = 10  # ages are written in tenths of a second
-# How many image names a machine may have in the record: image names are hints, so they go first
-# when space is short.
+# Image names per machine, in the order in which they are tried.  Image names are hints, which are
+# omitted first if the record is too long.
 _IMAGES_IN_ONE_VALUE = (4, 2, 1, 0)
 _IMAGES_IN_PARTS = (1, 0)
 _IMAGES_IN_SPLIT_VALUE = (0, 1, 2, 4)
 
 
 class _Part(msgspec.Struct, rename={"kinds": "k", "images": "i", "rows": "m", "exceptions": "x"}):
-    """Machines of an inventory in columns; what most machines lack stands apart."""
+    """One part of an inventory: a row for each machine, and tables of repeated values.
+
+    Attributes:
+        kinds: the (type, zone, spot) combinations.
+        images: the image names.
+        rows: for each machine its name, the index of its kind, its age, and its images' indices.
+        exceptions: by row index, the agent epoch, preemption notice in seconds and error count of a
+            machine that does not have the usual values.
+    """
 
     kinds: list[tuple[str, str, bool]] = []
     images: list[str] = []
-    # Name, index of the kind, age, then indices of images.
     rows: list[list[str | int]] = []
-    # By index of the row: agent epoch, preemption notice in seconds, errors.
     exceptions: dict[int, tuple[int, float | None, int]] = {}
 
 
@@ -43,28 +49,28 @@
 
 
 class _Head(_Part, rename=_HEAD_KEYS):
-    """The first part of an inventory, which says how many there are."""
+    """The first part of an inventory, which includes the number of parts."""
 
     fencing_token: int = 0
     up_s: float = 0.0
     revision: int = 0
     part_count: int = 1
-    schema_version: int = SCHEMA_V1  # the version before says nothing of it
+    schema_version: int = SCHEMA_V1  # absent in records of the previous version
     process: int = 0
 
 
 def _head(inventory: MachineInventory, part_count: int) -> _Head:
-    """A first part without machines."""
+    """Return a first part without machines."""
     return _Head([], [], [], {}, *inventory[:3], part_count, *inventory[4:])
 
 
 def _add_machines(part: _Part, machines: list[tuple[str, MachineStatus]], images: int) -> None:
-    """Add machines to an empty part, each with as many of its latest images."""
+    """Add machines to an empty part, each with at most `images` of its latest images."""
     kinds: dict[tuple[str, str, bool], int] = {}
     image_index: dict[str, int] = {}
     for index, (machine, status) in enumerate(machines):
         kind = kinds.setdefault((status.type, status.zone, status.spot), len(kinds))
-        # An age that is too low only makes a proof of lease expiry later.
+        # Ages are rounded down: too low an age only delays the detection of lease expiry.
         row: list[str | int] = [short_name(machine), kind, int(status.age_s * _AGE_STEPS_PER_S)]
         if images:
             row += [
@@ -77,10 +83,10 @@
 
 
 def inventory_values_v1(inventory: MachineInventory, value_bytes: float) -> list[dict[str, Any]]:
-    """The inventory's values in schema version 1, each at most `value_bytes` long.
+    """Encode an inventory in schema version 1, as values of at most `value_bytes` each.
 
-    Names of images go first when space is short; then the machines are split over several values,
-    which are to be written together.
+    If space is short, image names are omitted first; then the machines are split over several
+    values, which must be written in one transaction.
     """
     machines = sorted(inventory.machines.items())
     for part_count in range(1, len(machines) + 2):
@@ -97,7 +103,7 @@
     part_count: int,
     images: int,
 ) -> list[dict[str, Any]]:
-    """The values of an inventory in so many parts, however long they are."""
+    """Encode an inventory in `part_count` parts, regardless of their length."""
     size = -(-len(machines) // part_count) if machines else 0
     values: list[dict[str, Any]] = []
     for index in range(part_count):
@@ -105,13 +111,13 @@
         _add_machines(part, machines[index * size : (index + 1) * size], images)
         value = msgspec.to_builtins(part, str_keys=True)
         if index:
-            value["r"] = inventory.revision  # tells parts that were written together
+            value["r"] = inventory.revision  # identifies the parts of one inventory
         values.append(value)
     return values
 
 
 def inventory_values_v2(inventory: MachineInventory, value_bytes: float) -> list[Any]:
-    """The inventory's values in schema version 2: as few as possible, then names of images."""
+    """Encode an inventory in schema version 2, with the fewest values, then the most images."""
     machines = sorted(inventory.machines.items())
     best: list[Any] = []
     for images in _IMAGES_IN_SPLIT_VALUE:
@@ -120,7 +126,7 @@
         values = split_value(
             msgspec.to_builtins(head, str_keys=True), value_bytes - len(UPGRADE_REQUIRED)
         )
-        # The version before reads the number of parts here, and fails.
+        # A controller of the previous version decodes this as the number of parts, and fails.
         values[0]["p"] = UPGRADE_REQUIRED
         if best and len(values) > len(best):
             break
@@ -129,13 +135,13 @@
 
 
 def part_count(head: dict[str, Any]) -> int:
-    """How many values an inventory has, by its first one."""
+    """Return the number of an inventory's values, as stated by the first."""
     count = head.get("p", 1)
     return count if isinstance(count, int) else 1
 
 
 def read_inventory(values: list[dict[str, Any]]) -> MachineInventory | None:
-    """An inventory from its values, or None if they were not written together."""
+    """Decode an inventory, or return None if the values are not of one inventory."""
     if isinstance(values[0].get("p"), str):
         values = [values[0] | {"p": 1}]
     head = msgspec.convert(values[0], _Head, strict=False)
@@ -152,7 +158,7 @@
 
 
 def _machines(part: _Part) -> dict[str, MachineStatus]:
-    """The machines of one part."""
+    """Return the machines of one part by name."""
     machines: dict[str, MachineStatus] = {}
     for index, (name, kind, age, *images) in enumerate(part.rows):
         epoch, notice_s, errors = part.exceptions.get(index, (1, None, 0))
--- a/src/sandladder/state/codecs/jobs.py
+++ b/src/sandladder/state/codecs/jobs.py
@@ -1,4 +1,4 @@
-"""The records of live and of finished jobs."""
+"""The records of live and finished jobs."""
 
 from typing import Any
 
@@ -18,10 +18,10 @@
 
 
 def job_value(job: Job) -> dict[str, Any]:
-    """The job's record: attempts that differ only in task and machine share their parts.
+    """Encode a live job; attempts that differ only in task and machine are grouped.
 
-    What is live is written as [attempt, stop, [machine, zone, agent epoch, tasks...]...], a
-    machine by its number where its name allows, and zones by their place in a table.
+    A group of live attempts is [attempt, stop, [machine, zone, agent epoch, tasks...]...], where a
+    zone is its index in a table, and tasks are ranges.
     """
     value: dict[str, Any] = {
         "s": msgspec.to_builtins(job.spec),
@@ -38,7 +38,7 @@
         value["c"] = 1
     if job.errors:
         value["e"] = job.errors
-    # Only in records of schema version 2: the version before would lose these.
+    # In schema version 2 only: a controller of the previous version would drop these fields.
     if job.dependencies:
         value["a"] = list(job.dependencies)
     if job.ready is not None:
@@ -47,7 +47,7 @@
 
 
 def _live_value(job: Job, zones: list[str]) -> list[list[Any]]:
-    """The live attempts, grouped by attempt number and stop, then by place."""
+    """Encode the live attempts, grouped by number and stop, then by machine, zone and epoch."""
     groups: dict[tuple[int, float | None], dict[tuple[str, str, int], Ranges]] = {}
     for task, attempt in job.live.items():
         group = groups.setdefault((attempt.attempt, attempt.stop), {})
@@ -67,29 +67,29 @@
 
 
 def read_job(value: dict[str, Any], spec: JobSpec | None = None) -> Job:
-    """Read a live job's record; a spec that is known already is not decoded again."""
+    """Decode a live job's record; if its spec is given, it is not decoded again."""
     if spec is None:
         spec = msgspec.convert(value["s"], JobSpec, strict=False)
     job = Job(spec, float(value["t"]))
     job.next_attempt = int(value["n"])
     job.done = Ranges(value.get("d"))
-    job.live = _load_live(value)
+    job.live = _read_live(value)
     job.cancelled = bool(value.get("c"))
     job.errors = int(value.get("e") or 0)
     job.dependencies = tuple(value.get("a") or ())
     if not all(isinstance(name, str) for name in job.dependencies):
-        raise ValueError("a dependency is not named by a string")
+        raise ValueError("the id of a dependency is not a string")
     job.ready = None if value.get("w") is None else float(value["w"])
     return job
 
 
-def _load_live(value: dict[str, Any]) -> dict[int, Attempt]:
-    """The live attempts by task, in the order of the record."""
+def _read_live(value: dict[str, Any]) -> dict[int, Attempt]:
+    """Decode the live attempts by task, in the order of the record."""
     live: dict[int, Attempt] = {}
     zones = value.get("z") or []
     for number, stop, *group in value.get("l") or []:
-        for machine, place, epoch, *tasks in group:
-            attempt = Attempt(long_name(machine), zones[place], epoch, number, stop)
+        for machine, zone_index, epoch, *tasks in group:
+            attempt = Attempt(long_name(machine), zones[zone_index], epoch, number, stop)
             for first, end in zip(tasks[::2], tasks[1::2], strict=True):
                 for task in range(first, end):
                     live[task] = attempt
@@ -97,22 +97,22 @@
 
 
 def finished_job_value(finished: FinishedJob, schema_version: int) -> list[Any]:
-    """The record of a finished job; the time only where no reader counts the elements."""
+    """Encode a finished job; schema version 1 has no time."""
     value: list[Any] = [finished.state, finished.done]
     if schema_version > SCHEMA_V1 and finished.at is not None:
         value.append(round(finished.at, 3))
     return value
 
 
-def read_finished_job(value: Any, version: int = 0, *, filed: bool = True) -> FinishedJob:
-    """Read the record of a finished job.
+def read_finished_job(value: Any, version: int = 0, *, archived: bool = True) -> FinishedJob:
+    """Decode the record of a finished job.
 
     Args:
         value: the record.
         version: the version at which it was written.
-        filed: False for a record of schema version 2 that stands in the live job's place still.
+        archived: False for a record that is still stored under the live job's key.
     """
     state, done, *more = value
     if state not in (DONE, CANCELLED):
         raise ValueError(f"{state!r} is not the state of a finished job")
-    return FinishedJob(state, int(done), float(more[0]) if more else None, version, filed)
+    return FinishedJob(state, int(done), float(more[0]) if more else None, version, archived)
--- a/src/sandladder/state/codecs/membership.py
+++ b/src/sandladder/state/codecs/membership.py
@@ -1,4 +1,4 @@
-"""The records about controllers: the roster, and which schema versions they support."""
+"""The records of controllers: the roster, and the schema versions that they support."""
 
 from typing import Any
 
@@ -8,10 +8,10 @@
 
 
 def read_roster(value: Any) -> dict[str, Member]:
-    """Read the roster, by controller; an absent one is empty."""
+    """Decode the roster by controller; an absent record is empty."""
     return msgspec.convert(value or {}, dict[str, Member])
 
 
 def read_supported_versions(value: Any) -> dict[str, int]:
-    """The newest schema version that each controller supports, as far as it has said so."""
+    """Decode the newest schema version that each controller has recorded as supported."""
     return {str(node): int(version) for node, version in (value or {}).items()}
--- a/src/sandladder/state/codecs/schema.py
+++ b/src/sandladder/state/codecs/schema.py
@@ -1,22 +1,21 @@
-"""The record that states the schema version of all others."""
+"""The record of the schema version, which applies to all other records."""
 
 from typing import Any
 
 from sandladder.model import ARRAY, SCHEMA_V1, SCHEMA_V2
 from sandladder.state.errors import UnknownSchemaVersionError
 
-# Stands where the version before expects a number: it fails there, and logs this text.
+# Stored in place of a number, so that a controller of the previous version fails and logs this.
 UPGRADE_REQUIRED = "these records need sandladder 0.2 or later"
 
 
 def schema_version_value(schema_version: int) -> dict[str, Any]:
-    """The record that states the schema version.
+    """Encode the record of the schema version.
 
-    A controller of the version before takes it for a job.  It cannot read the time, logs the text
-    that stands there, and does not get past it: it would do harm with records that it half
-    understands.  As it skips a key that it failed on once, the record is written again while such
-    a controller sends heartbeats (`SchemaMigration`), and inventories stop it as well.
-    This can go once no store is left that such a version may meet.
+    A controller of the previous version decodes the record as a job and fails on its time, so that
+    it cannot misinterpret the other records.  As it skips a key on which it has failed once, the
+    record is written again while such a controller sends heartbeats (`SchemaMigration`);
+    inventories make it fail as well.  This can be removed once no such controller may be started.
     """
     spec = ["form", "", "", ARRAY, 0, 1, 1.0, 0.0, 0.0, "", 0.0]
     spec += [None, None, False, False, False, 0.0, 0.0, 0.0, None]
@@ -24,7 +23,7 @@
 
 
 def read_schema_version(value: Any) -> int:
-    """The schema version that the record states.
+    """Decode the record of the schema version.
 
     Raises:
         UnknownSchemaVersionError: this program does not support it.
--- a/src/sandladder/state/codecs/split_values.py
+++ b/src/sandladder/state/codecs/split_values.py
@@ -1,4 +1,4 @@
-"""Values that are too long for the store, compressed and split over several keys."""
+"""Compression and splitting of values that exceed the store's limit on values."""
 
 import base64
 import zlib
@@ -9,31 +9,31 @@
 from sandladder.state.entries import KeyValue, StoredValue
 from sandladder.state.keys import continuation_key
 
-# Fields of a part: its text; and of the first part, the number of parts.
+# Fields of a part: its text, and in the first part the number of parts.
 _TEXT, _PART_COUNT = "~", "of"
-# Fields of a record whose parts several transactions wrote: the stamp that all of them carry, and
-# the index of the first continuation.
+# Fields of a record that is written in several transactions: the stamp of all its parts, and the
+# index of the first continuation.
 _STAMP, _FIRST_INDEX = "r", "b"
-# What surrounds the text of a part, in bytes.
+# The encoded length of a part without its text, in bytes.
 _PART_OVERHEAD_BYTES = len(
     msgspec.json.encode({_TEXT: "", _PART_COUNT: 1000, _STAMP: 1 << 53, _FIRST_INDEX: 1000})
 )
-# Bounds what a malformed record can make of the memory.
+# Bounds the memory that a malformed record can use.
 _JOINED_BYTES_LIMIT = 4 << 20
 _CONTINUATIONS_LIMIT = 999
 
 
-def split_value(value: Any, most_bytes: float) -> list[Any]:
-    """The values that a record is written as, the first under the record's own key.
+def split_value(value: Any, max_bytes: float) -> list[Any]:
+    """Split a record into the values under its key and its continuation keys.
 
-    The value itself if it is at most `most_bytes` long.  Otherwise the parts belong together when
-    one transaction wrote them all.
+    A value of at most `max_bytes` is not split.  Otherwise all parts must be written in one
+    transaction, or be stamped by `stamp_parts`.
     """
     encoded = msgspec.json.encode(value)
-    if len(encoded) <= most_bytes:
+    if len(encoded) <= max_bytes:
         return [value]
     text = base64.b64encode(zlib.compress(encoded)).decode("ascii")
-    text_bytes = max(1, int(most_bytes) - _PART_OVERHEAD_BYTES)
+    text_bytes = max(1, int(max_bytes) - _PART_OVERHEAD_BYTES)
     texts = [text[at : at + text_bytes] for at in range(0, len(text), text_bytes)]
     parts: list[dict[str, Any]] = [{_TEXT: part} for part in texts]
     parts[0][_PART_COUNT] = len(parts)
@@ -41,27 +41,27 @@
 
 
 def stamp_parts(key: str, parts: list[dict[str, Any]], stamp: int) -> list[tuple[str, Any]]:
-    """The keys and values of a record too large for one transaction, its first part last.
+    """Return the keys and values of a record that exceeds one transaction, its first part last.
 
-    The continuations are written ahead, beside those that the first part still names; all carry
-    one stamp, so that a half-written record is never taken for a whole one.
+    Continuations are written under other keys than those of the current record, before the first
+    part.  All parts have the same stamp, so that an incomplete record is not joined.
     """
     first_index = 1 + stamp % 2 * (_CONTINUATIONS_LIMIT + 1)
     head = parts[0] | {_STAMP: stamp, _FIRST_INDEX: first_index}
-    ahead = [
+    continuations = [
         KeyValue(continuation_key(key, first_index + index), part | {_STAMP: stamp})
         for index, part in enumerate(parts[1:])
     ]
-    return [*ahead, KeyValue(key, head)]
+    return [*continuations, KeyValue(key, head)]
 
 
 def is_split(value: Any) -> bool:
-    """Whether a value is the first part of a split record."""
+    """Return whether a value is the first part of a split record."""
     return isinstance(value, dict) and _TEXT in value
 
 
 def join_value(head: StoredValue, continuations: dict[int, StoredValue]) -> Any:
-    """The record of these parts; None if one is missing or they were not written together."""
+    """Join the parts of a record, or return None if they are incomplete or do not match."""
     value, version = head
     texts = [value[_TEXT]]
     first_index = int(value.get(_FIRST_INDEX, 1))
--- a/src/sandladder/state/codecs/teams.py
+++ b/src/sandladder/state/codecs/teams.py
@@ -1,4 +1,4 @@
-"""The records of teams: what a team uses (schema version 1), or who schedules it (version 2)."""
+"""The records of teams: usage in schema version 1, assignment to a controller in version 2."""
 
 from typing import Any
 
@@ -6,17 +6,17 @@
 
 
 def assignment_value(assignment: TeamAssignment) -> dict[str, Any]:
-    """A team's record in schema version 2; what the team uses follows from its jobs' records."""
+    """Encode a team's record in schema version 2; usage is derived from the team's jobs."""
     return {"p": assignment.node, "n": assignment.incarnation}
 
 
 def usage_value(usage: TeamUsage) -> list[float]:
-    """A team's record in schema version 1."""
+    """Encode a team's record in schema version 1."""
     return list(usage)
 
 
 def read_team(value: Any) -> TeamUsage | TeamAssignment:
-    """Read a team's record of either version."""
+    """Decode a team's record of either schema version."""
     if isinstance(value, dict):
         return TeamAssignment(str(value["p"]), int(value["n"]))
     return TeamUsage(*(float(amount) for amount in value))
