--- a/src/sandladder/state/__init__.py
+++ b/src/sandladder/state/__init__.py
@@ -1,13 +1,14 @@
-"""The cluster's state: records in a consensus-backed key-value store, and this controller's copy.
+"""The cluster's state: records in a consensus-backed key-value store, and a local cache of them.
 
-`StoreClient` talks to the store, `StoreWatch` keeps the `StateCache` current, and `GroupCommitter`
-joins `PendingChange`s into compare-and-swap transactions; a `Transaction` collects the records that
-a change writes and the versions that it relies on.  `codecs` encodes each kind of record, `keys`
-spells the keys, and `SchemaMigration` brings old records to this program's schema version.
+`StoreClient` sends requests to the store, `StoreWatch` updates the `StateCache`, and
+`GroupCommitter` batches `PendingChange`s into compare-and-swap transactions; a `Transaction`
+collects the records that changes write and the versions that they expect.  `codecs` encodes each
+kind of record, `keys` defines the keys, and `SchemaMigration` migrates records to this program's
+schema version.
 
-The package owns the copy of the records, the queue of changes and the shares of the store's rate
-limits.  It never decides what is to be changed, never writes a key without naming the version that
-it expects, and never changes the copy but by what the store has committed.
+The package owns the cache, the queue of changes and this controller's shares of the store's rate
+limits.  It does not decide which changes to make.  Each write names the expected version of its
+key, and the cache is changed only by committed transactions.
 """
 
 from sandladder.state.cache import StateCache
--- a/src/sandladder/state/entries.py
+++ b/src/sandladder/state/entries.py
@@ -1,4 +1,4 @@
-"""Keys with their values and versions, as they come from the store and go to it."""
+"""Keys with values and versions, as read from and written to the store."""
 
 from typing import Any, NamedTuple
 
@@ -11,7 +11,7 @@
 
 
 class StoredEntry(NamedTuple):
-    """A key with its value and version; in a change, the value None stands for a deletion."""
+    """A key with its value and version; in a change, the value None is a deletion."""
 
     key: str
     value: Any
@@ -19,21 +19,21 @@
 
 
 class StoredEntries(NamedTuple):
-    """Entries or changes, and the revision of the store as of which they are complete."""
+    """Entries or changes, and the store's revision up to which they are complete."""
 
     revision: int
     entries: list[StoredEntry]
 
 
 class LeasedValue(NamedTuple):
-    """A value to be written, and the lease that it is attached to, if any."""
+    """A value to be written, and the lease to which its key is attached, if any."""
 
     value: Any
     lease: int | None
 
 
 class KeyValue(NamedTuple):
-    """A key and the value to be written there."""
+    """A key and its new value."""
 
     key: str
     value: Any
--- a/src/sandladder/state/errors.py
+++ b/src/sandladder/state/errors.py
@@ -1,17 +1,17 @@
-"""What may go wrong with the key-value store and with changes of its records."""
+"""Errors of the key-value store and of changes to its records."""
 
 from sandladder.errors import SandladderError
 
 
 class PreconditionFailedError(SandladderError):
-    """A change does not hold on the current records; the text says why."""
+    """A change is not valid on the current records; the message states the reason."""
 
 
 class StoreRequestError(SandladderError):
-    """The store did not carry a request out, or did not answer a read.
+    """The store did not respond to a read, or rejected or failed a request.
 
     Attributes:
-        status: the HTTP status, or None if there was no answer.
+        status: the HTTP status, or None if there was no response.
     """
 
     def __init__(self, message: str, status: int | None = None) -> None:
@@ -20,14 +20,14 @@
 
 
 class StoreUnavailableError(StoreRequestError):
-    """The store serves nobody, or not this controller: to retry at once is of no use."""
+    """The store is unavailable, at least to this controller; an immediate retry is of no use."""
 
 
 class UnknownOutcomeError(SandladderError):
-    """A transaction got no answer: it may be applied now, later or never.
+    """The outcome of a transaction is unknown: it may have been applied, or may be later.
 
     Attributes:
-        status: the HTTP status, or None if there was no answer at all.
+        status: the HTTP status, or None if there was no response.
     """
 
     def __init__(self, message: str, status: int | None = None) -> None:
@@ -36,10 +36,10 @@
 
 
 class LeaseExpiredError(SandladderError):
-    """The lease has expired.
+    """A lease has expired.
 
     Attributes:
-        lease: the lease, or None if it is not known which one of a transaction it was.
+        lease: the lease, or None if the store does not say which of a transaction's leases it is.
     """
 
     def __init__(self, lease: int | None = None) -> None:
@@ -48,14 +48,14 @@
 
 
 class TransactionTooLargeError(SandladderError):
-    """The store refused a transaction as such: it is too large.
+    """The store rejected a transaction because of its size.
 
     Attributes:
-        reason: what the store said.
+        reason: the store's error message.
     """
 
     def __init__(self, reason: object) -> None:
-        super().__init__(f"the store refused a transaction: {reason}")
+        super().__init__(f"the store rejected a transaction: {reason}")
         self.reason = reason
 
 
@@ -63,7 +63,7 @@
     """Some keys were not at the versions that a transaction expected.
 
     Attributes:
-        failed: these keys.
+        failed: the keys that were not.
     """
 
     def __init__(self, failed: list[str]) -> None:
@@ -72,16 +72,16 @@
 
 
 class UnknownSchemaVersionError(SandladderError):
-    """The records are of a schema version that this program does not support.
+    """The records have a schema version that this program does not support.
 
     Attributes:
-        found: the version that the store names; anything at all if that record is malformed.
+        found: the version in the store; any value if that record is malformed.
         supported: the newest version that this program supports.
     """
 
     def __init__(self, found: object, supported: int) -> None:
         super().__init__(
-            f"the records are of schema version {found!r}, this program supports {supported}"
+            f"the records have schema version {found!r}; this program supports up to {supported}"
         )
         self.found = found
         self.supported = supported
--- a/src/sandladder/state/inventory.py
+++ b/src/sandladder/state/inventory.py
@@ -1,4 +1,4 @@
-"""Changes of a controller's machine inventory."""
+"""Changes to a controller's machine inventory."""
 
 from typing import Any
 
@@ -12,13 +12,13 @@
 def inventory_changes(
     transaction: Transaction, node: str, inventory: MachineInventory, value_bytes: float
 ) -> list[tuple[str, Any]]:
-    """The keys and values of an inventory, in as many parts as the store's limit requires.
+    """Return the keys and values of an inventory, in as many parts as the store's limit requires.
 
     Args:
-        transaction: tells the schema version.
+        transaction: provides the schema version.
         node: the controller whose inventory it is.
-        inventory: its machines.
-        value_bytes: how long a value may be, in bytes.
+        inventory: the inventory.
+        value_bytes: the maximum length of a value, in bytes.
     """
     key = INVENTORY_PREFIX + node
     if transaction.is_schema_v1:
@@ -31,24 +31,28 @@
 
 
 def put_inventory(
-    transaction: Transaction, node: str, changes: list[tuple[str, Any]], lease: int, most: int
+    transaction: Transaction,
+    node: str,
+    changes: list[tuple[str, Any]],
+    lease: int,
+    max_operations: int,
 ) -> None:
     """Write an inventory under its controller's lease, and delete parts that it no longer has.
 
     Args:
         transaction: the transaction to add to.
         node: the controller whose inventory it is.
-        changes: the keys and values, by `inventory_changes`.
+        changes: the keys and values, as returned by `inventory_changes`.
         lease: the controller's lease.
-        most: how many puts and deletes the transaction may come to.
+        max_operations: the maximum number of puts and deletes of the transaction.
     """
     for key, value in changes:
         transaction.put_unsplit(key, value, lease)
-    # Parts of schema version 1; those of version 2 expire with the lease.
+    # Obsolete parts of schema version 1; those of version 2 expire with the lease.
     index = len(changes) if transaction.is_schema_v1 else 1
     while (
-        transaction.cache.version(old := f"{INVENTORY_PREFIX}{node}/{index}")
-        and transaction.size < most
+        transaction.cache.version(part_key := f"{INVENTORY_PREFIX}{node}/{index}")
+        and transaction.size < max_operations
     ):
-        transaction.put_unsplit(old, None)
+        transaction.put_unsplit(part_key, None)
         index += 1
--- a/src/sandladder/state/keys.py
+++ b/src/sandladder/state/keys.py
@@ -1,33 +1,33 @@
-"""The keys under which records stand in the key-value store.
+"""The keys of the records in the key-value store.
 
-The spelling of the keys is part of the stored schema and is shared with the version in production;
-`docs/upgrading.md` says who reads which record.
+The keys are part of the stored schema, which the version in production shares; `docs/upgrading.md`
+defines which version reads which record.
 """
 
 KEY_ROOT = "s/"
 
-# Prefixes of records of which there are many, by what follows the prefix.
-JOB_PREFIX = "s/j/"  # a live job, or one that is finished and not archived yet; by job
-FINISHED_JOB_PREFIX = "s/f/"  # an archived finished job; by job
-TEAM_PREFIX = "s/t/"  # a team's usage (schema version 1) or assignment (version 2); by team
-INVENTORY_PREFIX = "s/p/"  # a controller's machine inventory, under its lease; by controller
-INSTANCE_PREFIX = "s/v/"  # instances that the cloud runs for the cluster; by number of the chunk
-SUPPORT_PREFIX = "s/n/"  # which schema versions controllers support
-CONTINUATION_PREFIX = "s/x/"  # all parts but the first of records that are split
-MEMBERSHIP_PREFIX = "s/m/"  # written in schema version 2 only
+# Prefixes of keys; what follows the prefix is given after the semicolon.
+JOB_PREFIX = "s/j/"  # a live job, or a finished one that is not archived yet; the job id
+FINISHED_JOB_PREFIX = "s/f/"  # an archived finished job; the job id
+TEAM_PREFIX = "s/t/"  # a team's usage (schema version 1) or assignment (version 2); the team
+INVENTORY_PREFIX = "s/p/"  # a controller's machine inventory, under its lease; the controller
+INSTANCE_PREFIX = "s/v/"  # the cluster's cloud instances; the number of the chunk
+SUPPORT_PREFIX = "s/n/"  # the schema versions that controllers support
+CONTINUATION_PREFIX = "s/x/"  # a part of a split record other than the first
+MEMBERSHIP_PREFIX = "s/m/"  # the roster; in schema version 2 only
 
-# The prefixes above have one length, so that a key's kind is a slice of it.
+# All prefixes have the same length, so that a slice of a key identifies the kind of record.
 PREFIX_LENGTH = 4
 
 # Single records.
 SCHEMA_VERSION_KEY = JOB_PREFIX + "form"
 SUPPORTED_VERSIONS_KEY = SUPPORT_PREFIX + "forms"
 ROSTER_KEY = MEMBERSHIP_PREFIX + "roster"
-FENCING_TOKEN_KEY = "s/term"  # the last fencing token that was given out
+FENCING_TOKEN_KEY = "s/term"  # the last fencing token that was issued
 AUTOSCALER_KEY = "s/renter"  # the controller that runs the autoscaler
-MACHINE_TYPES_KEY = "s/types"  # the machine types that the cloud offers
+MACHINE_TYPES_KEY = "s/types"  # the cloud's machine types
 
-# What a controller reads at its start: everything but the archived jobs.
+# The prefixes that a controller loads at startup: all but the archived jobs.
 STARTUP_PREFIXES = (
     JOB_PREFIX,
     INVENTORY_PREFIX,
@@ -41,12 +41,12 @@
 
 
 def continuation_key(key: str, index: int) -> str:
-    """The key of a further part of a record."""
+    """Return the key of a part of a split record other than the first."""
     return f"{CONTINUATION_PREFIX}{key[len(KEY_ROOT) :]}/{index}"
 
 
 def parse_continuation_key(key: str) -> tuple[str, int]:
-    """The key of the record that a further part belongs to, and the part's index.
+    """Return the key of the record to which a continuation key belongs, and the part's index.
 
     Raises:
         ValueError: the key does not end in a number.
@@ -56,10 +56,10 @@
 
 
 def last_component(key: str) -> str:
-    """What follows the last slash of a key."""
+    """Return the part of a key after its last slash."""
     return key.rpartition("/")[2]
 
 
 def key_kind(key: str) -> str:
-    """The kind of record under a key, for statistics: the key's first two components."""
+    """Return a key's first two components, which identify its kind in statistics."""
     return "/".join(key.split("/")[:2])
--- a/src/sandladder/state/schema_changes.py
+++ b/src/sandladder/state/schema_changes.py
@@ -1,6 +1,6 @@
-"""Changes of the records that bring them to a new schema version.
+"""Transactions that migrate the records to a new schema version.
 
-See docs/upgrading.md.  Pure, but for `retire`.
+See docs/upgrading.md.  Pure, except for `retire_controller`.
 """
 
 from sandladder.model import SCHEMA_V1, SCHEMA_V2
@@ -25,9 +25,9 @@
 
 
 def is_store_empty(cache: StateCache) -> bool:
-    """Whether nobody has ever written to the store.
+    """Return whether no controller has written to the store yet.
 
-    The first records that are written are the fencing token and the machine types.
+    The first records of a new store are the fencing token and the machine types.
     """
     return (
         not cache.version(FENCING_TOKEN_KEY)
@@ -37,9 +37,15 @@
 
 
 def mark_schema_version(transaction: Transaction, node: str, schema_version: int | None) -> bool:
-    """Record which schema version a controller's program supports; None: it is not known.
+    """Record the newest schema version that a controller supports.
 
-    False if that is recorded already.
+    Args:
+        transaction: the transaction to add to.
+        node: the controller.
+        schema_version: the version, or None to remove the controller's record.
+
+    Returns:
+        False if the record is up to date.
     """
     supported = dict(transaction.cache.supported_versions)
     if schema_version is None:
@@ -54,16 +60,20 @@
 
 
 def raise_schema_version(transaction: Transaction, nodes: list[str]) -> bool:
-    """Have records written in this program's schema version from now on.
+    """Raise the schema version of the records to this program's.
 
-    All controllers must support it.  That is proved by what each of them wrote, never by silence:
-    by its record of supported versions, and by its inventory if it runs.  The transaction relies on
-    the inventories, so that no controller can begin with an older program unnoticed; and it raises
-    the fencing token, so that one that has just read the records must read again before it can
+    Every controller must be known to support it: by its record of supported versions, and by its
+    inventory if it runs.  The transaction expects the versions of all inventories, so that it
+    conflicts if a controller starts with an older program meanwhile.  It also raises the fencing
+    token, so that a controller which has read the older records must read them again before it can
     acquire its lease.
 
+    Args:
+        transaction: the transaction to add to.
+        nodes: all controllers.
+
     Returns:
-        False if the records are of that version already.
+        False if the records have that version.
 
     Raises:
         PreconditionFailedError: a controller is not known to support it.
@@ -89,7 +99,7 @@
 
 
 def rewrite_schema_version(transaction: Transaction) -> bool:
-    """Write the record of the schema version again, as it is."""
+    """Write the record of the schema version again, unchanged."""
     transaction.put(
         SCHEMA_VERSION_KEY,
         schema_version_value(SCHEMA_V2),
@@ -99,9 +109,10 @@
 
 
 def rewrite_record(transaction: Transaction, key: str) -> bool:
-    """Write a job's or an instance record again as it is, within the limits in force.
+    """Write a job's or an instance record again, unchanged, within the limits in force.
 
-    False if there is no such record any more.
+    Returns:
+        False if the record no longer exists.
     """
     cache = transaction.cache
     name = last_component(key)
@@ -117,22 +128,22 @@
 
 
 async def retire_controller(store: StoreClient, node: str) -> str | None:
-    """Record that a controller which never comes back does not block the new schema version.
+    """Record a removed controller as supporting the new schema version, so that it blocks nothing.
 
-    It must not be running: the transaction relies on its inventory, which expires with its lease,
-    being absent.
+    It must not be running: the transaction expects its inventory, which expires with its lease, to
+    be absent.
 
     Returns:
-        None once that is written; otherwise why it is not, for the operator.
+        None if that is committed; otherwise the reason why not, for the operator.
 
     Raises:
-        StoreRequestError: the store did not answer or did not carry it out.
-        UnknownOutcomeError: it may have been written or not.
+        StoreRequestError: the store did not respond or did not apply the transaction.
+        UnknownOutcomeError: the transaction may have been applied.
     """
     if await store.get(INVENTORY_PREFIX + node) is not None:
-        return f"{node} lives: it records itself which schema version it supports"
-    found = await store.get(SUPPORTED_VERSIONS_KEY)
-    supported, version = found or StoredValue({}, 0)
+        return f"{node} is running: it records the schema version that it supports itself"
+    stored = await store.get(SUPPORTED_VERSIONS_KEY)
+    supported, version = stored or StoredValue({}, 0)
     change = KeyChange(SUPPORTED_VERSIONS_KEY, {**supported, node: SCHEMA_V2})
     body = store_messages.commit_body(
         [(INVENTORY_PREFIX + node, 0), (SUPPORTED_VERSIONS_KEY, version)], [change], []
@@ -140,5 +151,5 @@
     try:
         await store.commit(body, 1)
     except ConflictError as conflict:
-        return f"something changed meanwhile ({conflict}): try again"
+        return f"the records changed meanwhile ({conflict}): try again"
     return None
--- a/src/sandladder/state/schema_migration.py
+++ b/src/sandladder/state/schema_migration.py
@@ -1,7 +1,7 @@
-"""Brings the records to this program's schema version, once all controllers support it.
+"""Migration of the records to this program's schema version, once all controllers support it.
 
-See docs/upgrading.md.  What this module does while the records are of schema version 1 can go once
-no store is left that the version before wrote.
+See docs/upgrading.md.  The handling of schema version 1 can be removed once no store has records
+of the previous version.
 """
 
 import contextlib
@@ -33,26 +33,25 @@
 
 log = logging.getLogger(__name__)
 
-# How many steps of the migration, and checks for older controllers, an agent's heartbeat interval
-# has.
+# Migration steps, and checks for older controllers, per agents' heartbeat interval.
 _STEPS_PER_HEARTBEAT, _CHECKS_PER_HEARTBEAT = 4, 5
 
 
 class ClusterMembers(Protocol):
-    """What the migration asks about the other controllers."""
+    """The cluster membership, as the migration reads it."""
 
     def outdated_peers(self) -> set[str]:
-        """The controllers that send heartbeats and support schema version 1 only."""
+        """Return the controllers that send heartbeats and support schema version 1 only."""
 
     def live_nodes(self) -> list[str]:
-        """The controllers that are members now."""
+        """Return the current members."""
 
     def is_assigned(self, team: str) -> bool:
-        """Whether this controller schedules a team's jobs."""
+        """Return whether this controller schedules a team's jobs."""
 
 
 class SchemaMigration:
-    """Records which schema version this controller supports, and raises it when all do."""
+    """Records which schema version this controller supports, and migrates when all support it."""
 
     def __init__(
         self,
@@ -66,17 +65,17 @@
         lease_alive: Callable[[], bool],
         agent_heartbeat_s: float,
     ) -> None:
-        """Prepare the migration; `run` performs it.
+        """Create a migration; `run` performs it.
 
         Args:
             node: this controller.
-            nodes: all controllers that the settings name.
+            nodes: all controllers in the settings.
             cache: the records.
-            watch: brings the cache up to date.
+            watch: updates the cache.
             committer: commits the changes.
-            limits: what the store accepts.
-            members: the other controllers.
-            lease_alive: whether this controller's lease is certainly valid now.
+            limits: the store's size limits.
+            members: the cluster membership.
+            lease_alive: returns whether this controller's lease is certainly valid.
             agent_heartbeat_s: the interval of the agents' heartbeats, in seconds.
         """
         self._node = node
@@ -87,27 +86,26 @@
         self._limits = limits
         self._members = members
         self._lease_alive = lease_alive
-        self._step_s = agent_heartbeat_s / _STEPS_PER_HEARTBEAT
-        self._check_s = agent_heartbeat_s / _CHECKS_PER_HEARTBEAT
+        self._step_interval_s = agent_heartbeat_s / _STEPS_PER_HEARTBEAT
+        self._check_interval_s = agent_heartbeat_s / _CHECKS_PER_HEARTBEAT
 
     async def run(self) -> None:
-        """Raise the schema version; then shorten long records, and keep older programs out.
+        """Raise the schema version, then shorten long records and block older controllers.
 
-        Runs until cancelled.  Cancelled at any time it leaves nothing half done: each step is one
-        transaction.
+        Runs until cancelled, which is safe at any time, as each step is one transaction.
         """
         raised_here = False
         while not self._watch.loaded or self._cache.schema_version < SCHEMA_V2:
-            await anyio.sleep(self._step_s)
+            await anyio.sleep(self._step_interval_s)
             if not self._may_step():
                 continue
             raised_here = True
             try:
                 await self._step()
-            except PreconditionFailedError as refusal:
-                log.debug("the records stay at schema version %d: %s", SCHEMA_V1, refusal)
+            except PreconditionFailedError as reason:
+                log.debug("not raising the schema version from %d: %s", SCHEMA_V1, reason)
         if raised_here:
-            log.info("the records are at schema version %d now", self._cache.schema_version)
+            log.info("migrated the records to schema version %d", self._cache.schema_version)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._shorten_records)
             tasks.start_soon(self._block_older_controllers)
@@ -116,15 +114,15 @@
         return self._watch.loaded and self._lease_alive() and self._cache.schema_version < SCHEMA_V2
 
     async def _step(self) -> None:
-        """Record what is known to be supported, and raise the version if all support it."""
+        """Record the supported versions, and raise the version if all controllers support it."""
         if not self._supports_v2(self._node):
             await self._mark(self._node, SCHEMA_V2)
         for node, inventory in self._cache.inventories.items():
             if inventory.schema_version < SCHEMA_V2 and self._supports_v2(node):
-                log.warning("%s runs an older version again", node)
+                log.warning("controller %s runs an older version again", node)
                 await self._mark(node, None)
         if all(self._supports_v2(node) for node in self._nodes):
-            # The proof rests on everything written until now.
+            # The preconditions must be checked on records that include all earlier commits.
             await self._watch.barrier()
             await self._commit("schema version", partial(raise_schema_version, nodes=self._nodes))
 
@@ -143,54 +141,59 @@
         await self._committer.add(PendingChange(name, priority, 2, apply)).wait()
 
     async def _block_older_controllers(self) -> None:
-        """Keep a controller of the version before from reading these records.
+        """Keep controllers of the previous version from loading the records.
 
-        It half understands them.  It tries again and again, and skips what it failed on before
-        unless that is written anew.
+        They fail on the record of the schema version, retry, and skip it from then on unless it is
+        written again.  They would misinterpret the other records.
         """
-        known: set[str] = set()
+        previous: set[str] = set()
         while True:
-            await anyio.sleep(self._check_s)
-            older = self._members.outdated_peers()
-            if older - known:
-                log.error("%s run a version that does not support these records", sorted(older))
-            known = older
-            # One of the controllers that receive its heartbeats is enough.
+            await anyio.sleep(self._check_interval_s)
+            outdated = self._members.outdated_peers()
+            if outdated - previous:
+                log.error(
+                    "controllers %s run a version that does not support the records",
+                    sorted(outdated),
+                )
+            previous = outdated
+            # One controller is enough to rewrite the record.
             if (
-                older
+                outdated
                 and self._lease_alive()
-                and self._node == min(set(self._members.live_nodes()) - older)
+                and self._node == min(set(self._members.live_nodes()) - outdated)
             ):
                 with contextlib.suppress(PreconditionFailedError):
                     await self._commit("schema version", rewrite_schema_version)
 
     async def _shorten_records(self) -> None:
-        """Rewrite what is longer than the limits to come, while there is time."""
+        """Split the records that exceed the value limit, before smaller limits come into force."""
         for key in self._long_records():
             try:
                 await self._commit(
                     f"shorter {key}", partial(rewrite_record, key=key), PRIORITY_BACKGROUND
                 )
-            except PreconditionFailedError as refusal:
-                log.debug("%s stays as it is: %s", key, refusal)
+            except PreconditionFailedError as reason:
+                log.debug("record %s was not shortened: %s", key, reason)
 
     def _long_records(self) -> list[str]:
-        """The keys of this controller's records that are longer than a value may be."""
-        cache, most = self._cache, self._limits.value_bytes
+        """Return the keys of this controller's records that are longer than the value limit."""
+        cache, max_bytes = self._cache, self._limits.value_bytes
         keys = [
             JOB_PREFIX + job.id
             for job in cache.jobs.values()
-            if self._members.is_assigned(job.spec.team) and _length(job_value(job)) > most
+            if self._members.is_assigned(job.spec.team)
+            and _encoded_length(job_value(job)) > max_bytes
         ]
         if cache.autoscaler_node == self._node:
             keys += [
                 f"{INSTANCE_PREFIX}{chunk}"
                 for chunk, names in cache.instance_chunks.items()
-                if _length(instances_value({name: cache.instances[name] for name in names})) > most
+                if _encoded_length(instances_value({name: cache.instances[name] for name in names}))
+                > max_bytes
             ]
         return keys
 
 
-def _length(value: object) -> int:
-    """How long a value is, in bytes."""
+def _encoded_length(value: object) -> int:
+    """Return the encoded length of a value, in bytes."""
     return len(msgspec.json.encode(value))
--- a/src/sandladder/state/store_client.py
+++ b/src/sandladder/state/store_client.py
@@ -20,38 +20,43 @@
 
 _OK, _BAD_REQUEST, _NOT_FOUND, _CONFLICT, _GONE = 200, 400, 404, 409, 410
 _RATE_LIMITED, _SERVER_ERROR, _UNAVAILABLE = 429, 500, 503
-# What the store says of a transaction that names a lease which it does not have.
+# The store's error for a transaction that names an unknown lease.
 _NO_SUCH_LEASE = "no such lease"
 
 
 class StoreClient:
-    """Requests to the key-value store, counted against its rate limits.
+    """A client that counts its requests against the store's rate limits.
 
-    Cancelling a request leaves its connection closed; a commit that was cancelled may still be
-    applied.
+    Cancelling a request closes its connection; a cancelled commit may still be applied.
 
     Attributes:
-        limits: the store's limits by the settings.
-        writes: this controller's share of the limit on puts and deletes.
-        requests: its share of the limit on requests.
-        ok_at: when the store last answered, in seconds on the steady clock.
+        limits: the store's configured limits.
+        writes: this controller's share of the rate limit on puts and deletes.
+        requests: this controller's share of the rate limit on requests.
+        last_answer_at: when the store last responded, in seconds on the steady clock.
     """
 
     def __init__(self, client: HttpRequester, limits: StoreSettings, timeout: float) -> None:
-        """`timeout`: after how many seconds a request without an answer is given up."""
+        """Create a client.
+
+        Args:
+            client: sends the requests.
+            limits: the store's configured limits.
+            timeout: the timeout of a request, in seconds.
+        """
         self._client = client
         self._timeout = timeout
         self.limits = limits
-        least = limits.strictest()
-        self.writes = AdaptiveTokenBucket(limits.write_rps, least.write_rps)
-        self.requests = AdaptiveTokenBucket(limits.rps, least.rps)
+        strictest = limits.strictest()
+        self.writes = AdaptiveTokenBucket(limits.write_rps, strictest.write_rps)
+        self.requests = AdaptiveTokenBucket(limits.rps, strictest.rps)
         self.last_answer_at = float("-inf")
 
     async def get(self, key: str) -> StoredValue | None:
-        """A key's value and version, or None if there is no such key.
+        """Return a key's value and version, or None if the key does not exist.
 
         Raises:
-            StoreRequestError: the store did not answer, or not with a value.
+            StoreRequestError: the store did not respond, or returned an error.
         """
         answer = await self._request("GET", f"{store_messages.KEYS_PATH}/{key}")
         if answer.status == _NOT_FOUND:
@@ -59,29 +64,30 @@
         return StoredValue(*store_messages.parse_value(_ok_body(answer)))
 
     async def read_all(self, prefix: str) -> StoredEntries:
-        """All keys with a prefix, read page by page.
+        """Read all keys with a prefix, page by page.
 
-        The revision is the least of all pages: the entries are complete as of it at least.
+        The revision is the lowest of all pages.  The entries are complete as of that revision, and
+        may include later changes.
 
         Raises:
-            StoreRequestError: the store did not answer each page.
+            StoreRequestError: the store did not respond to a request, or returned an error.
         """
         entries: list[StoredEntry] = []
-        after, least = "", None
+        after, min_revision = "", None
         while True:
             answer = await self._request("GET", store_messages.list_target(prefix, after))
             revision, page, more = store_messages.parse_items(_ok_body(answer))
-            least = revision if least is None else min(least, revision)
+            min_revision = revision if min_revision is None else min(min_revision, revision)
             entries += [StoredEntry(*item) for item in page]
             if not more or not page:
-                return StoredEntries(least, entries)
+                return StoredEntries(min_revision, entries)
             after = entries[-1].key
 
     async def follow(self, after: int) -> StoredEntries | None:
-        """The changes after a revision, or None if the store keeps these no longer.
+        """Return the changes after a revision, or None if the store's log no longer has them.
 
         Raises:
-            StoreRequestError: the store did not answer.
+            StoreRequestError: the store did not respond, or returned an error.
         """
         answer = await self._request("GET", store_messages.watch_target(KEY_ROOT, after, 0.0))
         if answer.status == _GONE:
@@ -90,21 +96,21 @@
         return StoredEntries(revision, [StoredEntry(*event) for event in events])
 
     async def commit(self, body: bytes, changes: int) -> int:
-        """Apply a transaction, as `store_messages.commit_body` encodes it.
+        """Commit a transaction.
 
         Args:
-            body: the transaction.
-            changes: how many puts and deletes it has.
+            body: the transaction, as encoded by `store_messages.commit_body`.
+            changes: the number of its puts and deletes.
 
         Returns:
-            The revision that it got.
+            The revision of the commit.
 
         Raises:
             ConflictError: some keys were not at the expected versions; nothing was applied.
             LeaseExpiredError: a lease that it names has expired; nothing was applied.
-            TransactionTooLargeError: the store does not take it; nothing was applied.
-            StoreRequestError: the store did not carry it out, for a reason of its own.
-            UnknownOutcomeError: there was no answer; it may be applied now, later or never.
+            TransactionTooLargeError: it exceeds the store's limits; nothing was applied.
+            StoreRequestError: the store rejected or failed the request; nothing was applied.
+            UnknownOutcomeError: there was no response; it may have been applied, or may be later.
         """
         self.writes.spend(changes)
         self.requests.spend(1)
@@ -116,7 +122,7 @@
             raise UnknownOutcomeError(str(error)) from None
         if answer.status == _RATE_LIMITED:
             self.writes.on_rejected(changes)
-            raise StoreRequestError("over the rate limit", answer.status)
+            raise StoreRequestError("rate limit exceeded", answer.status)
         if answer.status == _UNAVAILABLE:
             self.writes.refund(changes)
             raise StoreUnavailableError("status 503", answer.status)
@@ -134,10 +140,14 @@
         return store_messages.parse_revision(_ok_body(answer))
 
     async def grant_lease(self, ttl_s: float) -> int:
-        """A new lease that lasts so many seconds from now or from its last renewal.
+        """Grant a new lease and return its id.
+
+        Args:
+            ttl_s: the time to live from the grant or the last renewal, in seconds.
 
         Raises:
-            StoreRequestError: the store did not answer; a lease may exist that nobody renews.
+            StoreRequestError: the store did not respond, or returned an error.  A lease may have
+                been granted; it expires.
         """
         answer = await self._request(
             "POST", store_messages.LEASES_PATH, store_messages.lease_body(ttl_s)
@@ -148,8 +158,9 @@
         """Renew a lease.
 
         Raises:
-            LeaseExpiredError: it has expired.
-            StoreRequestError: the store did not answer; it may have been renewed.
+            LeaseExpiredError: the lease has expired.
+            StoreRequestError: the store did not respond, or returned an error.  The lease may have
+                been renewed.
         """
         answer = await self._request("POST", f"{store_messages.LEASES_PATH}/{lease}/renew")
         if answer.status == _NOT_FOUND:
@@ -157,7 +168,7 @@
         _ok_body(answer)
 
     async def _request(self, method: str, target: str, body: bytes = b"") -> Response:
-        """Send a request that may be repeated without harm."""
+        """Send an idempotent request."""
         self.requests.spend(1)
         try:
             answer = await self._client.request(method, target, body, timeout=self._timeout)
@@ -165,7 +176,7 @@
             raise StoreRequestError(str(error)) from None
         if answer.status == _RATE_LIMITED:
             self.requests.on_rejected(1)
-            raise StoreRequestError("over the rate limit", answer.status)
+            raise StoreRequestError("rate limit exceeded", answer.status)
         if answer.status >= _SERVER_ERROR:
             raise StoreRequestError(f"status {answer.status}", answer.status)
         self.last_answer_at = clock.now()
@@ -180,7 +191,7 @@
 
 
 class LeaseRenewal(NamedTuple):
-    """A lease and until when it certainly lasts, in seconds on the steady clock."""
+    """A renewed lease, and the time until which it is certainly valid."""
 
     lease: int
-    valid_until: float
+    valid_until: float  # in seconds on the steady clock
