--- a/src/sandladder/state/group_commit.py
+++ b/src/sandladder/state/group_commit.py
@@ -173,8 +173,8 @@
         if self._limits.is_shrunk and clock.now() - self._shrunk_at > self._limits_reset_s:
             self._limits.reset()
         self._queue.sort(key=lambda change: change.priority)
-        # Without write budget, only requests, lease changes and urgent starts are sent, and nothing
-        # is batched with them: a small transaction that the store rejects is soon retried.
+        # Without write budget, only lease changes, requests, urgent starts and aged changes are
+        # batched: a small transaction that the store rejects is soon retried.
         delay = self._store.writes.delay(self._queue[0].cost)
         urgent = self._queue[0].priority < PRIORITY_JOB
         if delay > 0 and not urgent:
--- a/src/sandladder/state/store_client.py
+++ b/src/sandladder/state/store_client.py
@@ -36,16 +36,16 @@
         last_answer_at: when the store last responded, in seconds on the steady clock.
     """
 
-    def __init__(self, client: HttpRequester, limits: StoreSettings, timeout: float) -> None:
+    def __init__(self, client: HttpRequester, limits: StoreSettings, timeout_s: float) -> None:
         """Create a client.
 
         Args:
             client: sends the requests.
             limits: the store's configured limits.
-            timeout: the timeout of a request, in seconds.
+            timeout_s: the timeout of a request, in seconds.
         """
         self._client = client
-        self._timeout = timeout
+        self._timeout_s = timeout_s
         self.limits = limits
         strictest = limits.strictest()
         self.writes = AdaptiveTokenBucket(limits.write_rps, strictest.write_rps)
@@ -116,7 +116,7 @@
         self.requests.spend(1)
         try:
             answer = await self._client.request(
-                "POST", store_messages.COMMIT_PATH, body, timeout=self._timeout
+                "POST", store_messages.COMMIT_PATH, body, timeout=self._timeout_s
             )
         except HttpError as error:
             raise UnknownOutcomeError(str(error)) from None
@@ -171,7 +171,7 @@
         """Send an idempotent request."""
         self.requests.spend(1)
         try:
-            answer = await self._client.request(method, target, body, timeout=self._timeout)
+            answer = await self._client.request(method, target, body, timeout=self._timeout_s)
         except HttpError as error:
             raise StoreRequestError(str(error)) from None
         if answer.status == _RATE_LIMITED:
