--- a/src/sandladder/membership/controller_lease.py
+++ b/src/sandladder/membership/controller_lease.py
@@ -108,7 +108,7 @@
         renewal = self._renewal
         if self.superseded:
             return False
-        return self._inventory_stored and renewal is not None and clock.now() < renewal.until
+        return self._inventory_stored and renewal is not None and clock.now() < renewal.valid_until
 
     def observe(self) -> None:
         """Check, after the records changed, which process owns this controller's inventory.
@@ -205,7 +205,7 @@
     async def _acquire(self) -> None:
         """Acquire a lease and a fencing token, and store the inventory under the lease."""
         renewal = self._renewal
-        if renewal is None or clock.now() >= renewal.until:
+        if renewal is None or clock.now() >= renewal.valid_until:
             sent = clock.now()
             lease = await self._store.grant_lease(self._ttl_s)
             renewal = LeaseRenewal(lease, self._expires_at(sent))
--- a/src/sandladder/scheduling/planner.py
+++ b/src/sandladder/scheduling/planner.py
@@ -44,7 +44,7 @@
 
     def max_live_tasks(self, spec: JobSpec) -> int:
         """Return how many tasks of a job may be live so that its record fits the store."""
-        return min(spec.tasks, self.store_limits.most_live_tasks(len(msgspec.json.encode(spec))))
+        return min(spec.tasks, self.store_limits.max_live_tasks(len(msgspec.json.encode(spec))))
 
     def plan(
         self, owned: Iterable[Job], backing_off: dict[str, float], min_priority: int = LOW
