--- a/src/sandladder/api/__init__.py
+++ b/src/sandladder/api/__init__.py
@@ -1,13 +1,14 @@
-"""The job API: what users submit, ask and cancel, and the health check of the load balancer.
+"""The job API: submission, status and cancellation of jobs, and the load balancer's health check.
 
-`JobApi` answers whatever comes to a controller's public address: `JobRouter` picks the service for
-a user's request (`SubmissionService`, `JobLookup`, `CancellationService`), `RequestForwarder` has
-it served by a peer while the key-value store does not answer here, and `answers` has one type for
-each answer with its status code.  Heartbeats of agents go to the handler that `JobApi` is given.
+`JobApi` answers every request to a controller's public address: `JobRouter` selects the service for
+a user's request (`SubmissionService`, `JobLookup`, `CancellationService`), `RequestForwarder`
+forwards it to a peer while the key-value store does not answer this controller, and `answers`
+defines one type for each answer with its status code.  `JobApi` passes agents' heartbeats to a
+separate handler.
 
-It owns no state: jobs are in the key-value store and, as a copy, in the cache of `state`.  It never
-answers that a job is accepted, done or cancelled before that is committed, never gives an older
-answer than some controller gave before, and never commands agents.
+The package owns no state: jobs are in the key-value store and, as a copy, in the cache of `state`.
+It answers that a job is accepted, done or cancelled only after that is committed, never returns an
+older state than any controller returned before, and never sends commands to agents.
 """
 
 from sandladder.api.admission import AdmissionCheck
--- a/src/sandladder/api/admission.py
+++ b/src/sandladder/api/admission.py
@@ -1,4 +1,4 @@
-"""Decides whether a submitted job may be accepted."""
+"""Admission of submitted jobs."""
 
 from collections.abc import Callable
 
@@ -15,7 +15,7 @@
 
 
 class AdmissionCheck:
-    """Checks that a job can run at some time, and that its record can be kept."""
+    """Checks that a job can ever run and that its record fits the key-value store."""
 
     def __init__(
         self,
@@ -24,44 +24,49 @@
         cache: StateCache,
         store_limits: StoreLimits,
         team_limits: dict[str, TeamLimits],
-        wall: Callable[[], float],
+        wall_clock: Callable[[], float],
     ) -> None:
-        """`team_limits`: by the team's name; `wall`: the time of day."""
+        """Create the check.
+
+        Args:
+            team_limits: the limits of each team, by team name.
+            wall_clock: returns the time of day, in seconds.
+        """
         self._lookup = lookup
         self._dependency_check = dependency_check
         self._cache = cache
         self._store_limits = store_limits
         self._team_limits = team_limits
-        self._wall = wall
+        self._wall_clock = wall_clock
 
     async def check(
         self, submission: Submission
     ) -> SubmittedDependencies | NeverRunnable | RetryLater:
-        """What the jobs that a submission names mean for it, or why it is not accepted.
+        """Return the state of a submission's dependencies, or why it is not accepted.
 
-        Raises and is cancelled as `DependencyCheck.check`.
+        Exceptions and cancellation are those of `DependencyCheck.check`.
         """
         if not self._cache.machine_types:
             return RetryLater("the machine types are not known yet")
-        spec, names = submission
+        spec, dependency_ids = submission
         reason = rejection(spec, self._cache.machine_types, self._team_limits)
         if reason is not None:
             return NeverRunnable(reason)
         dependencies = SubmittedDependencies()
-        if names:
+        if dependency_ids:
             if self._cache.schema_version == SCHEMA_V1 and await self._lookup.find(spec.id) is None:
-                # A controller of the version before would start it at once.
+                # A controller of the previous version would start the job at once.
                 return RetryLater("not all controllers know of jobs that wait for others yet")
-            checked = await self._dependency_check.check(spec.id, names)
+            checked = await self._dependency_check.check(spec.id, dependency_ids)
             if isinstance(checked, NeverRunnable):
                 return checked
             dependencies = checked
-        reason = self._too_large(spec, dependencies)
+        reason = self._size_problem(spec, dependencies)
         return dependencies if reason is None else NeverRunnable(reason)
 
-    def _too_large(self, spec: JobSpec, dependencies: SubmittedDependencies) -> str | None:
-        """Why the store could not keep this job, or None."""
-        record = job_value(Job(spec, self._wall(), dependencies.live))
+    def _size_problem(self, spec: JobSpec, dependencies: SubmittedDependencies) -> str | None:
+        """Return why the job's record does not fit the store, or None if it does."""
+        record = job_value(Job(spec, self._wall_clock(), dependencies.live))
         if self._cache.schema_version == SCHEMA_V1:
             size = len(msgspec.json.encode(record))
         else:
--- a/src/sandladder/api/answers.py
+++ b/src/sandladder/api/answers.py
@@ -1,8 +1,7 @@
-"""The answers of the job API: one type for each, with its status code and its body.
+"""The answers of the job API: one type for each, with its status code and body.
 
-Source of the codes: "Users -> controller nodes" in the protocol page.  A user repeats a request
-after any status that it does not list as final, 1 s later or after `Retry-After` if that is longer,
-so every answer that decides nothing only has to be truthful.
+Source of the codes: "Users -> controller nodes" in the protocol page.  A user retries a request
+after any status that the page does not list as final, after 1 s or `Retry-After` if that is longer.
 """
 
 from dataclasses import dataclass
@@ -12,23 +11,23 @@
 from sandladder.protocol.job_messages import error_body, job_state_body
 from sandladder.transport import Response
 
-# Users wait at least so long before they repeat a request, in seconds.
-_SHORTEST_RETRY_S = 1
+# Minimum delay before a user retries a request, in seconds.
+_MIN_RETRY_DELAY_S = 1
 
 
 @dataclass(frozen=True)
 class Answer:
-    """What is answered to a request, before it is encoded."""
+    """An answer to a request, before it is encoded."""
 
     status: ClassVar[HTTPStatus]
     retry_after_s: ClassVar[int | None] = None
 
     def body(self) -> bytes:
-        """The encoded body; empty if the answer has none."""
+        """Return the encoded body; empty if the answer has none."""
         return b""
 
     def response(self) -> Response:
-        """The answer as the HTTP server sends it."""
+        """Return the answer as an HTTP response."""
         return Response(self.status.value, self.body(), self.retry_after_s)
 
 
@@ -36,14 +35,14 @@
 class KnownJob(Answer):
     """200: an accepted job and its state.
 
-    Answers questions, cancellations, and submissions of a job that is accepted already, whatever
-    else these say: requests are idempotent.
+    Sent for status queries, cancellations, and submissions of a job that was already accepted,
+    whatever the other fields of the submission: requests are idempotent.
 
     Attributes:
         job_id: the job.
         state: pending, running, done or cancelled, in the terms of `model`.
-        done: how many tasks are done; None where the answer says nothing of tasks.
-        running: how many tasks have a start that is not known to be over.
+        done: number of completed tasks; None if the answer has no task counts.
+        running: number of tasks with a start whose end is not proved yet.
     """
 
     status: ClassVar[HTTPStatus] = HTTPStatus.OK
@@ -53,35 +52,35 @@
     running: int = 0
 
     def body(self) -> bytes:
-        """The state, with the counts of tasks if they are known."""
+        """Return the encoded state, with the task counts if there are any."""
         return job_state_body(self.job_id, self.state, self.done, self.running)
 
 
 @dataclass(frozen=True)
 class AcceptedJob(KnownJob):
-    """201: the submission was committed by this request; the job will run."""
+    """201: this request committed the submission; the job will run."""
 
     status: ClassVar[HTTPStatus] = HTTPStatus.CREATED
 
 
 @dataclass(frozen=True)
 class Refusal(Answer):
-    """An answer that says why nothing was done.
+    """An answer that the request had no effect, with the reason.
 
     Attributes:
-        reason: why, for people.
+        reason: the reason as text for users.
     """
 
     reason: str
 
     def body(self) -> bytes:
-        """The reason."""
+        """Return the encoded reason."""
         return error_body(self.reason)
 
 
 @dataclass(frozen=True)
 class MalformedSubmission(Refusal):
-    """400, not repeated: not CBOR, not a map, or a field is missing or invalid."""
+    """400, not retried: not CBOR, not a map, or a field is missing or invalid."""
 
     status: ClassVar[HTTPStatus] = HTTPStatus.BAD_REQUEST
 
@@ -104,7 +103,7 @@
 
 @dataclass(frozen=True)
 class WrongMethod(Refusal):
-    """405: the path takes another method."""
+    """405: the path does not support the method."""
 
     status: ClassVar[HTTPStatus] = HTTPStatus.METHOD_NOT_ALLOWED
     reason: str = "wrong method"
@@ -112,10 +111,10 @@
 
 @dataclass(frozen=True)
 class NeverRunnable(Refusal):
-    """422, not repeated: the job can never run.
+    """422, not retried: the job can never run.
 
-    Its team is unknown, a task fits no allowed machine type, or it needs more than the team's quota
-    or more than a record can keep.
+    Its team is unknown, a task fits no allowed machine type, it exceeds the team's quota, its
+    record would be too large, or its dependencies can never be met.
     """
 
     status: ClassVar[HTTPStatus] = HTTPStatus.UNPROCESSABLE_ENTITY
@@ -123,25 +122,25 @@
 
 @dataclass(frozen=True)
 class InternalFailure(Refusal):
-    """500, repeated: an error in this program; the log has it."""
+    """500, retried: an unexpected error in this program, which is logged."""
 
     status: ClassVar[HTTPStatus] = HTTPStatus.INTERNAL_SERVER_ERROR
-    retry_after_s: ClassVar[int | None] = _SHORTEST_RETRY_S
+    retry_after_s: ClassVar[int | None] = _MIN_RETRY_DELAY_S
     reason: str = "internal error"
 
 
 @dataclass(frozen=True)
 class RetryLater(Refusal):
-    """503, repeated: it cannot be decided or committed yet."""
+    """503, retried: the request cannot be decided or committed yet."""
 
     status: ClassVar[HTTPStatus] = HTTPStatus.SERVICE_UNAVAILABLE
-    retry_after_s: ClassVar[int | None] = _SHORTEST_RETRY_S
+    retry_after_s: ClassVar[int | None] = _MIN_RETRY_DELAY_S
     reason: str = "cannot be taken now"
 
 
 @dataclass(frozen=True)
 class Healthy(Answer):
-    """200 to a health check: this controller can take requests."""
+    """200 to a health check: this controller can serve requests."""
 
     status: ClassVar[HTTPStatus] = HTTPStatus.OK
 
--- a/src/sandladder/api/cancellation.py
+++ b/src/sandladder/api/cancellation.py
@@ -1,4 +1,4 @@
-"""Cancellations: committed first, made known to the other controllers, and only then answered."""
+"""Cancellation of jobs: committed, announced to the other controllers, then answered."""
 
 from collections.abc import Callable
 
@@ -20,15 +20,14 @@
     Transaction,
 )
 
-# Puts and deletes that a cancellation takes at most.
-_CHANGES_OF_A_CANCELLATION = 2
+# Maximum number of puts and deletes of a cancellation.
+_MAX_CANCELLATION_OPERATIONS = 2
 
 
 class CancellationService:
     """Cancels jobs.
 
-    A cancellation is an idempotent request: one of a job that is over is answered with what the job
-    came to.
+    A cancellation is an idempotent request: for a finished job the answer is the job's final state.
     """
 
     def __init__(
@@ -39,62 +38,67 @@
         cluster_view: ClusterView,
         committer: GroupCommitter,
         peers: PeerService,
-        wall: Callable[[], float],
+        wall_clock: Callable[[], float],
         timeout_s: float,
     ) -> None:
-        """`wall`: the time of day; `timeout_s`: how long a commit is waited for, in seconds."""
+        """Create the service.
+
+        Args:
+            wall_clock: returns the time of day, in seconds.
+            timeout_s: timeout of a commit, in seconds.
+        """
         self._lookup = lookup
         self._cache = cache
         self._cluster_view = cluster_view
         self._committer = committer
         self._peers = peers
-        self._wall = wall
+        self._wall_clock = wall_clock
         self._timeout_s = timeout_s
 
     async def cancel(self, job_id: str) -> Answer:
-        """Answer a cancellation: with `cancelled` or `done`, or that it cannot be done now.
+        """Cancel a job and answer with its state, or with a retry if it cannot be cancelled now.
 
-        Cancelled itself while the commit is under way, the job may be cancelled all the same: the
-        user's next attempt shows it.
+        If this call is cancelled during the commit, the job may still be cancelled; a retry of the
+        request shows it.
 
         Raises:
             StoreRequestError: the records cannot be read or changed now.
-            TimeoutError: that took too long; the job may be cancelled or not.
+            TimeoutError: the operation timed out; the job may be cancelled or not.
         """
         if not is_job_id(job_id):
             return UnknownJob()
-        found = await self._lookup.find(job_id)
-        if found is None:
+        job = await self._lookup.find(job_id)
+        if job is None:
             return UnknownJob()
-        if isinstance(found, FinishedJob):
-            return KnownJob(job_id, found.state)
-        if self._lookup.state(found) == CANCELLED:
-            return self._cancelled(job_id)
-        reporting_controllers = self._reporting_controllers(found)
+        if isinstance(job, FinishedJob):
+            return KnownJob(job_id, job.state)
+        if self._lookup.state(job) == CANCELLED:
+            return self._cancelled_answer(job_id)
+        reporting_controllers = self._reporting_controllers(job)
         try:
             await self._commit(job_id)
         except PreconditionFailedError:
-            over = await self._lookup.find(job_id)
-            if over is None or over.state not in (DONE, CANCELLED):
+            current = await self._lookup.find(job_id)
+            if current is None or current.state not in (DONE, CANCELLED):
                 return RetryLater()
-            if over.state == DONE:
+            if current.state == DONE:
                 return KnownJob(job_id, DONE)
         self._peers.notify(reporting_controllers)
-        return self._cancelled(job_id)
+        return self._cancelled_answer(job_id)
 
     async def _commit(self, job_id: str) -> None:
         def apply(transaction: Transaction) -> bool:
-            cancel(transaction, job_id, self._wall())
+            cancel(transaction, job_id, self._wall_clock())
             return True
 
         change = PendingChange(
-            f"cancel {job_id}", PRIORITY_REQUEST, _CHANGES_OF_A_CANCELLATION, apply
+            f"cancel {job_id}", PRIORITY_REQUEST, _MAX_CANCELLATION_OPERATIONS, apply
         )
         with anyio.fail_after(self._timeout_s):
             await self._committer.add(change).wait()
 
     def _reporting_controllers(self, job: Job) -> set[str]:
-        """The reporting controllers of the machines on which the job has a start."""
+        """Return the reporting controllers of the machines on which the job has a start."""
         controllers = set()
         for attempt in job.live.values():
             observation = self._cluster_view.observation(attempt.machine)
@@ -102,10 +106,11 @@
                 controllers.add(observation.reporting_controller)
         return controllers
 
-    def _cancelled(self, job_id: str) -> KnownJob:
-        """Answer that a job is cancelled, once that is on its way to the other controllers.
+    def _cancelled_answer(self, job_id: str) -> KnownJob:
+        """Return the answer for a cancelled job, after announcing the cancellation to the peers.
 
-        Also where another controller's commit, or one of ours whose answer was lost, did it.
+        This also covers a cancellation committed by another controller, or by a commit of this one
+        whose response was lost.
         """
         if job_id in self._cache.cancelled:
             self._peers.announce_cancellations()
--- a/src/sandladder/api/dependency_check.py
+++ b/src/sandladder/api/dependency_check.py
@@ -1,4 +1,4 @@
-"""Checks the jobs that a submission names as its dependencies."""
+"""Check of a submission's dependencies."""
 
 import anyio
 
@@ -11,7 +11,7 @@
 
 
 class DependencyCheck:
-    """Reads, as of now, what became of the jobs that a submission names."""
+    """Reads the current state of the jobs that a submission depends on."""
 
     def __init__(
         self,
@@ -20,50 +20,54 @@
         dependency_resolver: DependencyResolver,
         timeout_s: float,
     ) -> None:
-        """`timeout_s`: for how long the reads of one submission may take, in seconds."""
+        """Create the check; `timeout_s` limits the reads of one submission, in seconds."""
         self._lookup = lookup
         self._watch = watch
         self._dependency_resolver = dependency_resolver
         self._timeout_s = timeout_s
 
     async def check(
-        self, job_id: str, names: tuple[str, ...]
+        self, job_id: str, dependency_ids: tuple[str, ...]
     ) -> SubmittedDependencies | NeverRunnable:
-        """What the named jobs mean for a new job, or why it cannot depend on them.
+        """Return the state of a new job's dependencies, or why it cannot depend on them.
 
-        Waits for a read of the store that is sent after the call, and for the records of finished
-        jobs that are not in memory.  Cancellation ends the wait and leaves nothing behind.
+        Waits for a store read that is sent after the call, and for the records of finished jobs
+        that are not in memory.  Cancellation ends the wait and has no other effect.
 
         Args:
-            job_id: the job that is submitted.
-            names: the jobs that must be done before it starts.
+            job_id: the submitted job.
+            dependency_ids: the jobs that must be done before it starts.
 
         Raises:
-            StoreRequestError: the store cannot be read, or a record is of unknown shape.
-            TimeoutError: it took too long.
+            StoreRequestError: the store cannot be read, or a record has an unknown format.
+            TimeoutError: the reads timed out.
         """
-        if job_id in names:
-            return _impossible("a job cannot wait for itself")
+        if job_id in dependency_ids:
+            return _never_runnable("a job cannot wait for itself")
         live: list[Job] = []
-        not_live: list[str] = []
+        not_live_ids: list[str] = []
         with anyio.fail_after(self._timeout_s):
             await self._watch.barrier()
-            for name in names:
-                job = self._lookup.live_job(name)
+            for dependency_id in dependency_ids:
+                job = self._lookup.live_job(dependency_id)
                 if job is None:
-                    not_live.append(name)
+                    not_live_ids.append(dependency_id)
                 elif job.spec.kind == SERVICE:
-                    return _impossible(f"{name} is a service and never done")
+                    return _never_runnable(f"{dependency_id} is a service and never done")
                 else:
                     live.append(job)
-            finished_jobs = await self._dependency_resolver.read_finished_jobs(not_live)
-        for name, final in finished_jobs.items():
-            if final is None:
-                return _impossible(f"{name} was never accepted")
-        states = [final.state for final in finished_jobs.values() if final is not None]
+            finished_jobs = await self._dependency_resolver.read_finished_jobs(not_live_ids)
+        for dependency_id, finished_job in finished_jobs.items():
+            if finished_job is None:
+                return _never_runnable(f"{dependency_id} was never accepted")
+        states = [
+            finished_job.state
+            for finished_job in finished_jobs.values()
+            if finished_job is not None
+        ]
         states += [self._lookup.state(job) for job in live]
         return SubmittedDependencies(tuple(job.id for job in live), CANCELLED in states)
 
 
-def _impossible(problem: str) -> NeverRunnable:
+def _never_runnable(problem: str) -> NeverRunnable:
     return NeverRunnable(f"{DEPENDENCIES_FIELD}: {problem}")
--- a/src/sandladder/api/health.py
+++ b/src/sandladder/api/health.py
@@ -8,10 +8,11 @@
 
 
 class HealthCheck:
-    """Says whether this controller can take users' requests.
+    """Determines whether this controller can serve users' requests.
 
-    It can once it has read the records and knows the machine types.  Without the key-value store it
-    is unhealthy only while a peer reaches it: in an outage for all, all stay healthy.
+    It can once it has read the records and knows the machine types.  If it cannot reach the
+    key-value store, it is unhealthy only while a peer can: in a full store outage all controllers
+    stay healthy.
     """
 
     def __init__(
--- a/src/sandladder/api/job_api.py
+++ b/src/sandladder/api/job_api.py
@@ -1,4 +1,4 @@
-"""The public address of a controller: requests of users, agents and the load balancer."""
+"""The public endpoint of a controller, for users, agents and the load balancer."""
 
 import logging
 from collections.abc import Awaitable, Callable
@@ -6,7 +6,7 @@
 from sandladder.api.answers import Answer, InternalFailure, RetryLater, WrongMethod
 from sandladder.api.forwarding import RequestForwarder
 from sandladder.api.health import HealthCheck
-from sandladder.api.router import JobRouter, path_of
+from sandladder.api.router import JobRouter, request_path
 from sandladder.protocol.agent_messages import HEARTBEAT_PATH
 from sandladder.protocol.job_messages import HEALTH_PATH
 from sandladder.state import StoreRequestError
@@ -16,7 +16,7 @@
 
 
 class JobApi:
-    """Answers every request that comes to a controller's public address."""
+    """Answers every request to a controller's public address."""
 
     def __init__(
         self,
@@ -25,7 +25,7 @@
         health: HealthCheck,
         handle_heartbeat: Handler,
     ) -> None:
-        """`handle_heartbeat` answers the heartbeats of agents, which share the address."""
+        """Create the API; `handle_heartbeat` serves agents' heartbeats to the same address."""
         self._router = router
         self._forwarder = forwarder
         self._health = health
@@ -34,35 +34,35 @@
     async def handle(self, request: Request) -> Response:
         """Answer one request, here or through a peer.
 
-        Raises nothing: what goes wrong becomes an answer.  Cancellation gives the request up; what
-        was being committed for it may be committed all the same.
+        Never raises: every error becomes an answer.  Cancellation abandons the request, but a
+        commit that it started may still succeed.
         """
-        path = path_of(request)
+        path = request_path(request)
         if path == HEARTBEAT_PATH:
             if request.method != "POST":
                 return WrongMethod().response()
-            return await self.guarded(lambda: self._handle_heartbeat(request), path)
+            return await self.serve_safely(lambda: self._handle_heartbeat(request), path)
         if path == HEALTH_PATH:
             answer: Answer = self._health.answer() if request.method == "GET" else WrongMethod()
             return answer.response()
         return await self._forwarder.serve(request, self.serve_locally)
 
     async def serve_locally(self, request: Request) -> Response:
-        """Answer a user's request at this controller; also one that a peer forwarded to it.
+        """Answer a user's request, sent here or forwarded by a peer, at this controller.
 
-        Raises nothing, and is cancelled as `handle`.
+        Errors and cancellation are those of `handle`.
         """
-        return await self.guarded(lambda: self.route(request), path_of(request))
+        return await self.serve_safely(lambda: self.route(request), request_path(request))
 
     async def route(self, request: Request) -> Response:
-        """The response of the service that a user's request is for; raises as that service."""
+        """Return the response of the service for a user's request; raise as that service does."""
         return (await self._router.serve(request)).response()
 
-    async def guarded(self, serve: Callable[[], Awaitable[Response]], path: str) -> Response:
-        """Turn whatever goes wrong in serving a request into an answer.
+    async def serve_safely(self, serve: Callable[[], Awaitable[Response]], path: str) -> Response:
+        """Serve a request and turn every error into an answer.
 
         Args:
-            serve: serves it.
+            serve: serves the request.
             path: the request's path, for the log.
         """
         try:
@@ -70,5 +70,5 @@
         except (StoreRequestError, TimeoutError):
             return RetryLater().response()
         except Exception:
-            log.exception("a request failed: %s", path)
+            log.exception("request to %s failed", path)
             return InternalFailure().response()
--- a/src/sandladder/api/job_lookup.py
+++ b/src/sandladder/api/job_lookup.py
@@ -1,4 +1,4 @@
-"""What is known of a job as of now, and what may be answered about it."""
+"""Lookup of jobs and of their current state."""
 
 import anyio
 
@@ -12,8 +12,8 @@
 class JobLookup:
     """Finds jobs in the records.
 
-    Every result rests on a read of the key-value store that was sent after the request came, so no
-    controller gives an older answer than another gave before (see docs/safety.md).
+    Every result is based on a read of the key-value store sent after the request arrived, so no
+    controller returns an older state than another one returned before (see docs/safety.md).
     """
 
     def __init__(
@@ -23,65 +23,65 @@
         dependency_resolver: DependencyResolver,
         timeout_s: float,
     ) -> None:
-        """`timeout_s`: for how long the reads of one request may take, in seconds."""
+        """Create the lookup; `timeout_s` limits the reads of one request, in seconds."""
         self._cache = cache
         self._watch = watch
         self._dependency_resolver = dependency_resolver
         self._timeout_s = timeout_s
 
     async def status(self, job_id: str) -> KnownJob | UnknownJob:
-        """Answer the question about one job.
+        """Answer a status query for one job.
 
-        Raises and is cancelled as `find`.
+        Exceptions and cancellation are those of `find`.
         """
         if not is_job_id(job_id):
             return UnknownJob()
         return self.answer(job_id, await self.find(job_id))
 
     async def find(self, job_id: str) -> Job | FinishedJob | None:
-        """A job as of now; None if it was never accepted.
+        """Return the current record of a job, or None if it was never accepted.
 
-        Waits until the cache holds what was committed before the call, unless the job is known to
-        be over, which never changes.  Cancellation ends the wait and leaves nothing behind.
+        Waits until the cache holds everything committed before the call, unless the job is known to
+        be finished, which is final.  Cancellation ends the wait and has no other effect.
 
         Raises:
-            StoreRequestError: the store cannot be read, or the job's record is of unknown shape.
-            TimeoutError: it took too long.
+            StoreRequestError: the store cannot be read, or the job's record has an unknown format.
+            TimeoutError: the reads timed out.
         """
-        final = self._cache.finished_job(job_id)
-        if final is not None:
-            return final
+        finished_job = self._cache.finished_job(job_id)
+        if finished_job is not None:
+            return finished_job
         with anyio.fail_after(self._timeout_s):
             await self._watch.barrier()
             job = self.live_job(job_id)
             if job is None:
                 return (await self._dependency_resolver.read_finished_jobs([job_id]))[job_id]
-            # A job that one of these cancels may have been called cancelled by a controller that
-            # knew of it: no later answer may be older.
+            # Another controller may have read these dependencies and already answered that the
+            # job is cancelled because of them; the answer here must not be older.
             unresolved = self._cache.dependency_index.unresolved_dependencies(job)
             if unresolved:
                 await self._dependency_resolver.resolve(unresolved)
             return job
 
     def live_job(self, job_id: str) -> Job | None:
-        """A job that is not over, as of the last read; None if there is none.
+        """Return a live job as of the last read, or None if there is none.
 
         Raises:
-            StoreRequestError: its record is of unknown shape, so nothing can be said of it.
+            StoreRequestError: the record has an unknown format, so the state is unknown.
         """
         if JOB_PREFIX + job_id in self._cache.unreadable:
             raise StoreRequestError(f"the record of {job_id} cannot be read")
         return self._cache.jobs.get(job_id)
 
     def state(self, job: Job) -> str:
-        """A live job's state; one that can never start is cancelled, as the records imply."""
+        """Return a live job's state; it is cancelled if a dependency can never be done."""
         outcome = self._cache.dependency_index.outcome(job)
         return CANCELLED if outcome is DependencyOutcome.CANCELLED else job.state
 
-    def answer(self, job_id: str, found: Job | FinishedJob | None) -> KnownJob | UnknownJob:
-        """What to answer about a job that was looked up."""
-        if found is None:
+    def answer(self, job_id: str, job_record: Job | FinishedJob | None) -> KnownJob | UnknownJob:
+        """Return the answer for the result of a lookup."""
+        if job_record is None:
             return UnknownJob()
-        if isinstance(found, FinishedJob):
-            return KnownJob(job_id, found.state, found.done)
-        return KnownJob(job_id, self.state(found), found.done.count, len(found.live))
+        if isinstance(job_record, FinishedJob):
+            return KnownJob(job_id, job_record.state, job_record.done)
+        return KnownJob(job_id, self.state(job_record), job_record.done.count, len(job_record.live))
--- a/src/sandladder/api/router.py
+++ b/src/sandladder/api/router.py
@@ -1,4 +1,4 @@
-"""Which service answers which path and method of the job API."""
+"""Routing of requests to the services of the job API, by path and method."""
 
 from collections.abc import Awaitable, Callable
 from typing import NamedTuple
@@ -11,8 +11,8 @@
 from sandladder.transport import Request
 
 
-def path_of(request: Request) -> str:
-    """The path that a request is for, without its query."""
+def request_path(request: Request) -> str:
+    """Return the path of a request without the query."""
     return request.path.partition("?")[0]
 
 
@@ -22,7 +22,7 @@
 
 
 class JobRouter:
-    """Hands users' requests to the services that answer them."""
+    """Routes users' requests to the services that answer them."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         self._cancellations = cancellations
 
     async def serve(self, request: Request) -> Answer:
-        """Have a request answered; raises and is cancelled as the service that answers it."""
+        """Return the answer of the service for a request; raise as that service does."""
         endpoint = self._endpoint(request)
         if endpoint is None:
             return UnknownPath()
@@ -44,7 +44,7 @@
         return await endpoint.serve()
 
     def _endpoint(self, request: Request) -> _Endpoint | None:
-        path = path_of(request)
+        path = request_path(request)
         if path == JOBS_PATH:
             return _Endpoint("POST", lambda: self._submissions.submit(request.body))
         if not path.startswith(f"{JOBS_PATH}/"):
--- a/src/sandladder/api/submission.py
+++ b/src/sandladder/api/submission.py
@@ -1,4 +1,4 @@
-"""Submissions: a job is checked, committed, and only then called accepted."""
+"""Submission of jobs: checked, committed, then answered as accepted."""
 
 from collections.abc import Callable
 
@@ -30,15 +30,15 @@
     Transaction,
 )
 
-# Puts that a submission takes.
-_CHANGES_OF_A_SUBMISSION = 1
+# Number of puts of a submission.
+_SUBMISSION_OPERATIONS = 1
 
 
 class SubmissionService:
     """Accepts jobs.
 
-    A submission is an idempotent request: one of a job that was accepted before is answered with
-    the job's state, whatever else it says, at whatever time it comes.
+    A submission is an idempotent request: if the job was accepted before, the answer is the job's
+    state, whatever the other fields of the submission.
     """
 
     def __init__(
@@ -50,28 +50,34 @@
         committer: GroupCommitter,
         peers: PeerService,
         store_reachable: Callable[[], bool],
-        wall: Callable[[], float],
+        wall_clock: Callable[[], float],
         timeout_s: float,
     ) -> None:
-        """`wall`: the time of day; `timeout_s`: how long a commit is waited for, in seconds."""
+        """Create the service.
+
+        Args:
+            store_reachable: returns whether the store answered this controller recently.
+            wall_clock: returns the time of day, in seconds.
+            timeout_s: timeout of a commit, in seconds.
+        """
         self._lookup = lookup
         self._admission = admission
         self._cache = cache
         self._committer = committer
         self._peers = peers
         self._store_reachable = store_reachable
-        self._wall = wall
+        self._wall_clock = wall_clock
         self._timeout_s = timeout_s
 
     async def submit(self, body: bytes) -> Answer:
-        """Answer a submission: check it, commit it and notify the controller of its team.
+        """Check and commit a submission, notify the team's controller and return the answer.
 
-        Cancelled while the commit is under way, the job may be accepted all the same: the user's
-        next attempt shows it.
+        If this call is cancelled during the commit, the job may still be accepted; a retry of the
+        request shows it.
 
         Raises:
             StoreRequestError: the records cannot be read or changed now.
-            TimeoutError: that took too long; the job may be accepted or not.
+            TimeoutError: the operation timed out; the job may be accepted or not.
         """
         try:
             submission = parse_submission(body)
@@ -90,15 +96,15 @@
         return await self._commit(spec, checked)
 
     async def _unless_accepted(self, job_id: str, refusal: Refusal) -> Answer:
-        """Refuse, but not a job that was accepted: it stays so, whatever is submitted later."""
-        found = await self._lookup.find(job_id)
-        return refusal if found is None else self._lookup.answer(job_id, found)
+        """Return the refusal, or the state of the job if it was accepted before."""
+        job = await self._lookup.find(job_id)
+        return refusal if job is None else self._lookup.answer(job_id, job)
 
     async def _commit(self, spec: JobSpec, dependencies: SubmittedDependencies) -> Answer:
-        """Commit a job that may be accepted, and answer with its state."""
+        """Commit a job that passed the checks, and return its state as the answer."""
         if self._committer.full or not self._store_reachable():
             return RetryLater()
-        submitted_at = self._wall()
+        submitted_at = self._wall_clock()
 
         def apply(transaction: Transaction) -> bool:
             submit(transaction, spec, submitted_at, dependencies)
@@ -107,7 +113,7 @@
         change = PendingChange(
             f"submission of {spec.id}",
             PRIORITY_REQUEST,
-            _CHANGES_OF_A_SUBMISSION,
+            _SUBMISSION_OPERATIONS,
             apply,
             settled_by_key=FINISHED_JOB_PREFIX + spec.id,
         )
@@ -117,10 +123,10 @@
         except PreconditionFailedError:
             return await self._unless_accepted(spec.id, RetryLater())
         self._peers.notify({self._peers.assignee(spec.team)})
-        # Another controller may have answered with a later state already, from the same commit:
-        # no earlier one is given here.
-        found = self._cache.jobs.get(spec.id) or self._cache.finished_job(spec.id)
-        known = self._lookup.answer(spec.id, found)
-        if isinstance(known, UnknownJob):
-            return RetryLater()  # gone from memory meanwhile: a read finds it
-        return AcceptedJob(known.job_id, known.state, known.done, known.running)
+        # Another controller may already have answered with a later state; the answer here must not
+        # be older.
+        job = self._cache.jobs.get(spec.id) or self._cache.finished_job(spec.id)
+        answer = self._lookup.answer(spec.id, job)
+        if isinstance(answer, UnknownJob):
+            return RetryLater()  # no longer in memory; the retry reads its record
+        return AcceptedJob(answer.job_id, answer.state, answer.done, answer.running)
--- a/src/sandladder/controller/__init__.py
+++ b/src/sandladder/controller/__init__.py
@@ -1,10 +1,10 @@
-"""One controller: its services, made, started and joined.
+"""The controller: construction, start and supervision of its services.
 
-`ControllerServices` constructs them from the lowest package up and hands each the collaborators and
-callbacks that it uses; `Controller` starts them and supervises them.  `PlanningLoop` and
-`ChangeHandler` join what several packages do: a round of planning, and the reaction to changed
-records.  The package owns the signals that ask for planning and the task group in which everything
-runs.  It never decides anything itself and keeps no records.
+`ControllerServices` constructs the services from the lowest package up and passes each its
+collaborators and callbacks; `Controller` starts and supervises them.  `PlanningLoop` and
+`ChangeHandler` coordinate several packages: the first runs planning rounds, the second reacts to
+changed records.  The package owns the signals that request planning and the task group of all
+services.  It contains no scheduling policy and keeps no records.
 """
 
 from sandladder.controller.controller import Controller
--- a/src/sandladder/controller/change_handler.py
+++ b/src/sandladder/controller/change_handler.py
@@ -1,4 +1,4 @@
-"""What follows from a change of the records: evidence taken in, premises revalidated, commands."""
+"""Reactions to changed records: new evidence, revalidated premises, commands to agents."""
 
 import logging
 from collections.abc import Iterable
@@ -25,7 +25,7 @@
 
 
 class ChangeHandler:
-    """Called with the keys that changed, whether the watch brought them or a commit of our own."""
+    """Handles changed records, whether the watch read them or this controller committed them."""
 
     def __init__(
         self,
@@ -54,31 +54,31 @@
         self._agent_service = agent_service
         self._dependency_resolver = dependency_resolver
 
-    def read_completed(self, sent: float) -> None:
-        """A reading of the store that was sent at this steady time, in seconds, is in the cache."""
-        self._lease_expiry.record_store_read(sent, self._cache.revision)
-        self._cache.expire_peer_cancellations(sent)
-        self._renewal_guard.record_store_read(sent)
+    def read_completed(self, sent_at: float) -> None:
+        """Record that the cache includes a store read sent at `sent_at` (steady clock, seconds)."""
+        self._lease_expiry.record_store_read(sent_at, self._cache.revision)
+        self._cache.expire_peer_cancellations(sent_at)
+        self._renewal_guard.record_store_read(sent_at)
 
     def records_changed(self, keys: dict[str, None]) -> None:
-        """Take in what changed, check again the premises that it reaches, and send commands."""
+        """Apply changes to these keys, revalidate the affected premises and send commands."""
         self._cluster_view.now = clock.now()
-        self._take_in_members(keys)
-        self._take_in_machine_types(keys)
+        self._apply_member_records(keys)
+        self._apply_machine_records(keys)
         changed_machines, self._cache.changed_machines = self._cache.changed_machines, {}
         started_tasks, self._cache.started_tasks = self._cache.started_tasks, {}
         resources = [
-            *self._touch_machines(changed_machines),
-            *self._note_starts(started_tasks),
-            *self._changed_jobs_and_teams(keys),
+            *self._update_machines(changed_machines),
+            *self._record_starts(started_tasks),
+            *self._apply_job_and_team_records(keys),
         ]
         self._revalidate(resources)
         self._send_commands(changed_machines)
         self._dependency_resolver.due.set()
         self._triggers.due.set()
 
-    def _take_in_members(self, keys: dict[str, None]) -> None:
-        """Controllers' inventories and the roster."""
+    def _apply_member_records(self, keys: dict[str, None]) -> None:
+        """Apply changes to the controllers' inventories and to the roster."""
         now = self._cluster_view.now
         if any(key.startswith(INVENTORY_PREFIX) for key in keys):
             self._lease_expiry.observe_inventories(
@@ -90,20 +90,20 @@
         if ROSTER_KEY in keys:
             self._membership.observe(now)
 
-    def _take_in_machine_types(self, keys: dict[str, None]) -> None:
+    def _apply_machine_records(self, keys: dict[str, None]) -> None:
         if MACHINE_TYPES_KEY in keys:
             self._cluster_view.types_changed()
         elif any(key.startswith(INSTANCE_PREFIX) for key in keys):
             self._cluster_view.instances_changed()
 
-    def _touch_machines(self, machines: Iterable[str]) -> list[Resource]:
+    def _update_machines(self, machines: Iterable[str]) -> list[Resource]:
         resources: list[Resource] = []
         for machine in machines:
             self._cluster_view.machine_changed(machine)
             resources.append(("machine", machine))
         return resources
 
-    def _note_starts(self, started_tasks: Iterable[tuple[str, int]]) -> list[Resource]:
+    def _record_starts(self, started_tasks: Iterable[tuple[str, int]]) -> list[Resource]:
         resources: list[Resource] = []
         for job_id, task in started_tasks:
             resources.append(("task", f"{job_id}/{task}"))
@@ -112,7 +112,7 @@
                 self._cluster_view.note_start(job.spec, job.live[task])
         return resources
 
-    def _changed_jobs_and_teams(self, keys: Iterable[str]) -> list[Resource]:
+    def _apply_job_and_team_records(self, keys: Iterable[str]) -> list[Resource]:
         resources: list[Resource] = []
         for key in keys:
             if key.startswith((JOB_PREFIX, FINISHED_JOB_PREFIX)):
@@ -132,7 +132,7 @@
         for verdict in self._gate.revalidate(resources, self._cluster_view):
             if verdict.outcome >= Outcome.REPLAN:
                 log.debug(
-                    "%s %s on %s: %s",
+                    "gate verdict %s for the start of %s on %s: %s",
                     verdict.outcome.name,
                     verdict.pending_start.key,
                     verdict.pending_start.placement.machine,
--- a/src/sandladder/controller/controller.py
+++ b/src/sandladder/controller/controller.py
@@ -1,4 +1,4 @@
-"""A controller: its services started and supervised."""
+"""The controller node, which starts and supervises its services."""
 
 import logging
 import time
@@ -15,18 +15,17 @@
 
 log = logging.getLogger(__name__)
 
-# An HTTP connection that is idle for so many agent leases is closed.
-_IDLE_CONNECTION_LEASES = 20
-# A connection of a peer that has been silent for so many of its heartbeats is closed; each peer may
-# have so many connections.
-_SILENT_HEARTBEATS = 20
-_CONNECTIONS_PER_PEER = 8
-# The share of the sockets that is for incoming connections: the store and the agents need theirs.
-_INCOMING_SOCKETS = 0.8
+# Idle timeout of HTTP connections, in agent leases.
+_IDLE_TIMEOUT_LEASES = 20
+# Silence after which a peer's connection is closed, in heartbeat intervals between controllers.
+_PEER_TIMEOUT_HEARTBEATS = 20
+_MAX_CONNECTIONS_PER_PEER = 8
+# Share of the socket quota for incoming connections; the rest is for outgoing ones.
+_INCOMING_SOCKET_SHARE = 0.8
 
 
 class Controller(ControllerServices):
-    """One controller node: starts the services, and starts again alone what fails."""
+    """Controller node: starts its services and restarts each service that fails."""
 
     def __init__(
         self,
@@ -35,12 +34,12 @@
         connect: HttpConnector = HttpClient,
         wall: Callable[[], float] = time.time,
     ) -> None:
-        """As `ControllerServices`; nothing is sent before `run`."""
+        """Construct the services as `ControllerServices` does; send nothing before `run`."""
         super().__init__(settings, rng, connect, wall)
         self.tasks: TaskGroup | None = None
 
     async def run(self) -> None:
-        """Serve until cancelled; a service that fails unexpectedly is started again alone."""
+        """Serve until cancelled, restarting any service that fails unexpectedly."""
         async with anyio.create_task_group() as tasks:
             self.tasks = tasks
             self.background.open(tasks)
@@ -61,7 +60,7 @@
                 tasks.start_soon(self._supervise, service)
 
     async def leave(self) -> None:
-        """End in order: hand the teams over, announce that, and stop serving."""
+        """Shut down gracefully: hand over the teams, notify the peers and stop serving."""
         await self.membership.leave(self.report_s)
         for connection in self.peers.connections.values():
             connection.flush()
@@ -76,29 +75,29 @@
         server = HttpServer(
             self.job_api.handle,
             body_limit=codec.BODY_LIMIT,
-            idle_s=_IDLE_CONNECTION_LEASES * self.lease_s,
+            idle_s=_IDLE_TIMEOUT_LEASES * self.lease_s,
             read_s=self.report_s,
-            most=int(platform.deployment.quota.max_sockets * _INCOMING_SOCKETS),
+            most=int(platform.deployment.quota.max_sockets * _INCOMING_SOCKET_SHARE),
         )
         tasks.start_soon(server.serve, host, port)
         tasks.start_soon(
             peer_transport.serve,
             platform.mesh_addr,
-            _CONNECTIONS_PER_PEER * len(self.nodes),
-            _SILENT_HEARTBEATS * self.heartbeat_interval_s,
+            _MAX_CONNECTIONS_PER_PEER * len(self.nodes),
+            _PEER_TIMEOUT_HEARTBEATS * self.heartbeat_interval_s,
             self.peers.receive,
         )
         for connection in self.peers.connections.values():
             tasks.start_soon(connection.run, self.peers.heartbeat)
 
     async def _supervise(self, service: Callable[[], Awaitable[None]]) -> None:
-        """Run a service; one that fails unexpectedly is logged and started again alone."""
+        """Run a service; log each unexpected failure and restart the service."""
         while True:
             try:
                 await service()
-            except Exception:  # noqa: BLE001 (whatever it is, the other services go on)
+            except Exception:  # noqa: BLE001 (the other services must keep running)
                 self._duty_failed(getattr(service, "__qualname__", str(service)))
             await anyio.sleep(self.report_s / 3)
 
     def _duty_failed(self, name: str) -> None:
-        log.exception("the service %s failed and is started again", name)
+        log.exception("service %s failed; restarting it", name)
--- a/src/sandladder/controller/planning_loop.py
+++ b/src/sandladder/controller/planning_loop.py
@@ -1,4 +1,4 @@
-"""The loop that plans: which waiting tasks start where, and which running ones are preempted."""
+"""The planning loop, which places waiting tasks and selects running tasks to stop."""
 
 import logging
 from collections.abc import Callable, Iterable
@@ -24,27 +24,27 @@
 
 log = logging.getLogger(__name__)
 
-# Shares of the agents' report interval: how long a pause is while nothing may be planned, and the
-# shortest and the longest pause between two rounds without urgent work.
-_IDLE_PAUSE = 1 / 10
-_SHORTEST_PAUSE = 1 / 32
-_PAUSE_WITHOUT_URGENT_WORK = 1 / 12
-# Work that is not urgent is planned only if it can be written within this share of the interval.
-_WRITTEN_SOON = 1 / 16
-# Planning may take one part in so many of the time, plus one.
-_PAUSE_PER_ROUND = 3
+# Pauses as shares of the agents' heartbeat interval: while planning is not possible; the minimum
+# after a round; and the maximum wait for urgent work after a round that had none.
+_IDLE_PAUSE_SHARE = 1 / 10
+_MIN_PAUSE_SHARE = 1 / 32
+_NON_URGENT_PAUSE_SHARE = 1 / 12
+# Non-urgent work is planned only if it can be written within this share of the heartbeat interval.
+_MAX_WRITE_DELAY_SHARE = 1 / 16
+# Minimum pause after a round, as a multiple of its duration.
+_PAUSE_ROUND_RATIO = 3
 
 
 class PlanningTriggers:
-    """What asks for a round of planning."""
+    """Signals that request a planning round."""
 
     def __init__(self) -> None:
         self.due = Signal()
-        self.urgent = Signal()  # something that must start at once waits
+        self.urgent = Signal()  # high-priority work is waiting
 
 
 class PlanningLoop:
-    """Plans again and again for the teams that this controller schedules."""
+    """Runs planning rounds for the teams that are assigned to this controller."""
 
     def __init__(
         self,
@@ -62,10 +62,14 @@
         preemption: PreemptionPolicy,
         job_committer: JobCommitter,
         background: BackgroundTasks,
-        wall: Callable[[], float],
+        wall_clock: Callable[[], float],
     ) -> None:
-        """`teams`: all teams of the settings; `report_s`: the agents' report interval in seconds;
-        `wall`: the time of day in seconds.
+        """Create the loop.
+
+        Args:
+            teams: the names of all teams in the settings.
+            report_s: the agents' heartbeat interval, in seconds.
+            wall_clock: returns the time of day, in seconds.
         """
         self._triggers = triggers
         self._teams = list(teams)
@@ -80,24 +84,25 @@
         self._preemption = preemption
         self._job_committer = job_committer
         self._background = background
-        self._wall = wall
+        self._wall_clock = wall_clock
 
     async def run(self) -> None:
-        """Plan whenever something asks for it, until cancelled."""
+        """Plan on request and when a planned time comes, until cancelled."""
         while True:
             await self._triggers.due.wait(min(self._report_s, self._planner.next_change_s))
             if not self._may_plan():
-                await anyio.sleep(self._report_s * _IDLE_PAUSE)
+                await anyio.sleep(self._report_s * _IDLE_PAUSE_SHARE)
                 continue
-            began = clock.now()
-            self._plan_once(began)
-            # Planning may take a quarter of our time; the more there is to do, the more
-            # is done at once.  Without urgent work the next round can wait for more of it: seen
-            # in a measured day, where a sixth of the processor time went into fifteen a second.
-            took = clock.now() - began
-            await anyio.sleep(max(self._report_s * _SHORTEST_PAUSE, _PAUSE_PER_ROUND * took))
+            started_at = clock.now()
+            self._plan_once(started_at)
+            # Limits planning to a quarter of the time.  Without urgent work the next round is
+            # delayed further, so that many small changes do not each cause a round.
+            elapsed_s = clock.now() - started_at
+            await anyio.sleep(
+                max(self._report_s * _MIN_PAUSE_SHARE, _PAUSE_ROUND_RATIO * elapsed_s)
+            )
             if not self._planner.urgent:
-                await self._triggers.urgent.wait(self._report_s * _PAUSE_WITHOUT_URGENT_WORK)
+                await self._triggers.urgent.wait(self._report_s * _NON_URGENT_PAUSE_SHARE)
 
     def _may_plan(self) -> bool:
         return (
@@ -107,15 +112,15 @@
         )
 
     def _plan_once(self, now: float) -> None:
-        """One round, as of a moment on the steady clock: starts, then preemptions and moves."""
+        """Run one round as of `now` (steady clock): starts, then preemptions and evictions."""
         self._cluster_view.now = now
-        self._cluster_view.wall_offset_s = self._wall() - now
+        self._cluster_view.wall_offset_s = self._wall_clock() - now
         jobs = self._assigned_jobs()
         backing_off = self._job_committer.backing_off
-        # What cannot be written yet would only grow stale: another controller takes the capacity.
-        written_soon = self._committer.free_in_s <= self._report_s * _WRITTEN_SOON
-        least_priority = LOW if written_soon else HIGH
-        self._job_committer.commit_starts(self._planner.plan(jobs, backing_off, least_priority))
+        # A start that cannot be written soon goes stale if another controller takes the capacity.
+        can_write_soon = self._committer.free_in_s <= self._report_s * _MAX_WRITE_DELAY_SHARE
+        min_priority = LOW if can_write_soon else HIGH
+        self._job_committer.commit_starts(self._planner.plan(jobs, backing_off, min_priority))
         victims = self._preemption.preempt(jobs, backing_off) + self._preemption.graceful_evictions(
             jobs
         )
@@ -123,26 +128,26 @@
             self._commit_stop(victim)
 
     def _assigned_jobs(self) -> list[Job]:
-        """The live jobs of the teams that are assigned to this controller."""
+        """Return the live jobs of the teams that are assigned to this controller."""
         assigned = {team for team in self._teams if self._peers.is_assigned(team)}
         return [job for job in self._cache.jobs.values() if job.spec.team in assigned]
 
     def _commit_stop(self, victim: PreemptionVictim) -> None:
-        """Have a running task stopped so that more urgent work gets its capacity."""
+        """Commit the stop of a task that is preempted or evicted."""
         log.info("preempting %s/%d: %s", victim.job, victim.task, victim.reason)
 
         def apply(transaction: Transaction) -> bool:
             return stop(transaction, victim.job, [victim.task], victim.grace_s)
 
         change = self._committer.add(PendingChange(f"stop in {victim.job}", PRIORITY_JOB, 1, apply))
-        self._background.start_soon(self._after_stop, change, victim)
+        self._background.start_soon(self._notify_after_stop, change, victim)
 
-    async def _after_stop(self, change: PendingChange, victim: PreemptionVictim) -> None:
-        """Once the stop is committed, have the agent's controller send it."""
+    async def _notify_after_stop(self, change: PendingChange, victim: PreemptionVictim) -> None:
+        """Notify the controller that commands the machine when the stop is committed."""
         try:
             await change.wait()
-        except PreconditionFailedError as refusal:
-            log.debug("%s: %s", change.name, refusal)
+        except PreconditionFailedError as rejection:
+            log.debug("%s was rejected: %s", change.name, rejection)
         finally:
             self._preemption.stop_settled(victim)
         observation = self._cluster_view.observation(victim.machine)
--- a/src/sandladder/controller/services.py
+++ b/src/sandladder/controller/services.py
@@ -1,4 +1,4 @@
-"""The services of a controller, made from the lowest package up and joined."""
+"""Construction of a controller's services, from the lowest package up."""
 
 import logging
 import time
@@ -70,23 +70,23 @@
 
 log = logging.getLogger(__name__)
 
-# Times as shares or multiples of the agents' lease (a request to the store that takes longer than
-# the first is given up; limits that were found too large are tried again after the second).
+# Times in agent leases: timeouts of requests to the store and to the cloud, the time until store
+# limits that were reduced are restored, and the interval of statistics in the log.
 _STORE_TIMEOUT_LEASES = 1 / 8
-_TRUST_LEASES = 8
+_LIMIT_RESET_LEASES = 8
 _CLOUD_TIMEOUT_LEASES = 1 / 3
 _STATISTICS_LEASES = 5
-# Heartbeats between controllers in each of the agents' report intervals.
+# Heartbeats between controllers in each agent heartbeat interval.
 _HEARTBEATS_PER_REPORT = 6
-# Connections that are kept open to the store and to the cloud.
+# Persistent connections to the store and to the cloud.
 _STORE_CONNECTIONS, _CLOUD_CONNECTIONS = 6, 2
 
 
 class ControllerServices:
     """Constructs the services of one controller; `Controller` starts them.
 
-    Whatever is decided or remembered is theirs.  What a service needs of one that lies above it is
-    handed to it here as a callback.
+    Policy and state belong to the services.  A service that uses another one in a higher package
+    receives it as a callback.
     """
 
     def __init__(
@@ -96,23 +96,23 @@
         connect: HttpConnector = HttpClient,
         wall: Callable[[], float] = time.time,
     ) -> None:
-        """Make the services; nothing is sent before `run`.
+        """Construct the services; send nothing before `run`.
 
         Args:
-            settings: both settings files, as read at the start of the process.
+            settings: the contents of both settings files, read when the process started.
             rng: the source of all random numbers.
-            connect: makes HTTP clients; tests put their own network here.
-            wall: the time of day, in seconds.
+            connect: creates HTTP clients; tests pass a simulated network.
+            wall: returns the time of day, in seconds.
         """
         for kind in settings.unknown_objectives:
-            log.info("objectives of the kind %s are not known and ignored", kind)
+            log.info("ignoring objectives of unknown kind %s", kind)
         self.settings = settings
         self.node = settings.node
         self.nodes = settings.node_names
         self.rng = rng
         self.connect = connect
-        self.wall = wall
-        self.process = rng.getrandbits(40)  # tells it from another under the same name
+        self.wall_clock = wall
+        self.process = rng.getrandbits(40)  # distinguishes it from other processes of this node
         workers = settings.platform.deployment.workers
         self.report_s, self.lease_s = workers.report_s, workers.lease_s
         self.heartbeat_interval_s = self.report_s / _HEARTBEATS_PER_REPORT
@@ -157,12 +157,12 @@
             self.rng,
             self._records_changed,
             self.limits,
-            trust_s=_TRUST_LEASES * self.lease_s,
+            trust_s=_LIMIT_RESET_LEASES * self.lease_s,
             patience_s=self.report_s,
         )
 
     def _make_scheduling(self) -> None:
-        """What agents report, what it proves, and what is decided on it."""
+        """Construct the agents' state, lease expiry proofs and the scheduler."""
         workers = self.settings.platform.deployment.workers
         self.reconciler = Reconciler()
         self.lease_expiry = LeaseExpiryProof(
@@ -177,9 +177,9 @@
         self.preemption = PreemptionPolicy(self.cluster_view, self.planner.selector)
 
     def _make_membership(self) -> None:
-        """The controller's own lease, and its part in membership and failover."""
+        """Construct the controller's lease and the membership service."""
         platform = self.settings.platform
-        inventory = ReportingAgents(
+        reporting_agents = ReportingAgents(
             self.lease_expiry,
             self.reconciler,
             self.cluster_view.images.names,
@@ -202,7 +202,7 @@
                 self.committer,
                 self.limits,
                 self._fencing_token,
-                inventory.inventory,
+                reporting_agents.inventory,
             ),
             fencing_token=self._fencing_token,
             on_fencing_token=self.reconciler.adopt_fencing_token,
@@ -224,7 +224,7 @@
             limits=self.limits,
             lease=self.controller_lease,
             store_reachable=self.store_reachable,
-            wall=self.wall,
+            wall=self.wall_clock,
             on_teams_moved=self._assignments_changed,
             on_unready_changed=self.cluster_view.avoid_controllers,
         )
@@ -264,7 +264,7 @@
             background=self.background,
             events=PeerEvents(
                 on_machine_update=self._machine_updated,
-                on_ended_attempt=self._peer_proved_end,
+                on_ended_attempt=self._handle_peer_end,
                 serve_request=self._serve_forwarded,
             ),
         )
@@ -291,7 +291,7 @@
             SchedulerCallbacks(
                 cluster=self.cluster_view,
                 advance_time=self._advance_time,
-                record_ended_attempts=self._ends_proved,
+                record_ended_attempts=self._record_proved_ends,
                 commit_due_ends=self._commit_due_ends,
                 avoided_machines=self.planner.failed_machines,
                 request_planning=self.triggers.due.set,
@@ -320,7 +320,7 @@
             archiver,
             self.background,
             self.triggers.due,
-            self.wall,
+            self.wall_clock,
         )
         canceller = DependentCanceller(
             self.node,
@@ -329,7 +329,7 @@
             self.committer,
             self.peers,
             self.background,
-            self.wall,
+            self.wall_clock,
         )
         self.dependency_resolver = DependencyResolver(
             workers,
@@ -361,7 +361,7 @@
                 isolated=self.agent_service.is_isolated,
                 uptime_s=self.lease_expiry.uptime_s,
                 fencing_token=self._fencing_token,
-                wall=self.wall,
+                wall=self.wall_clock,
             ),
         )
 
@@ -374,7 +374,7 @@
             self.cache,
             self.limits,
             self.cluster_view.team_limits,
-            self.wall,
+            self.wall_clock,
         )
         submissions = SubmissionService(
             lookup=lookup,
@@ -383,7 +383,7 @@
             committer=self.committer,
             peers=self.peers,
             store_reachable=self.store_reachable,
-            wall=self.wall,
+            wall_clock=self.wall_clock,
             timeout_s=commit_timeout_s,
         )
         cancellations = CancellationService(
@@ -392,7 +392,7 @@
             cluster_view=self.cluster_view,
             committer=self.committer,
             peers=self.peers,
-            wall=self.wall,
+            wall_clock=self.wall_clock,
             timeout_s=commit_timeout_s,
         )
         self.job_api = JobApi(
@@ -403,7 +403,7 @@
         )
 
     def _make_controller_services(self) -> None:
-        """Planning, the reaction to changed records, statistics."""
+        """Construct the change handler, the planning loop and the statistics log."""
         self.change_handler = ChangeHandler(
             triggers=self.triggers,
             cache=self.cache,
@@ -431,62 +431,62 @@
             preemption=self.preemption,
             job_committer=self.job_committer,
             background=self.background,
-            wall=self.wall,
+            wall_clock=self.wall_clock,
         )
         self.statistics = StatisticsLog(
             self.gate, self.committer, _STATISTICS_LEASES * self.lease_s
         )
 
-    # What services are handed of those above them
+    # Callbacks into services of higher packages
 
     def store_reachable(self) -> bool:
-        """Whether the store has answered this controller of late."""
+        """Return whether the store answered this controller recently."""
         return clock.now() - self.store.last_answer_at < self.report_s / 2
 
     def _fencing_token(self) -> int:
         return self.reconciler.fencing_token
 
     def _advance_time(self) -> float:
-        """Have the cluster view answer as of now; that moment, in seconds on the steady clock."""
+        """Set the cluster view's time to now and return it, in seconds on the steady clock."""
         now = self.cluster_view.now = clock.now()
         return now
 
     def _records_changed(self, keys: dict[str, None]) -> None:
         self.change_handler.records_changed(keys)
 
-    def _read_completed(self, sent: float) -> None:
-        self.change_handler.read_completed(sent)
+    def _read_completed(self, sent_at: float) -> None:
+        self.change_handler.read_completed(sent_at)
 
     def _lease_acquired(self, fencing_token: int) -> None:
         self.membership.lease_acquired(fencing_token)
 
     def _assignments_changed(self) -> None:
-        """A team was assigned to us or to another: see it in the records, and plan."""
+        """Wake the watch and request planning after a team's assignment changed."""
         self.watch.wake()
         self.triggers.due.set()
 
     def _reporting_agents(self, now: float) -> int | None:
-        """How many agents report here; None: none reaches this controller, so it takes none."""
+        """Return the number of reporting agents, or None if agents cannot reach this controller."""
         return None if self.agent_service.is_isolated(now) else self.agent_service.agent_count
 
     def _jobs_cancelled(self, job_ids: list[str]) -> None:
         self.agent_service.stop_cancelled(job_ids)
 
     def _machine_updated(self, update: MachineUpdate) -> None:
-        """A peer observed that a machine came or changed."""
+        """Record the status of a new or changed machine that a peer observed."""
         self._advance_time()
         self.cluster_view.record_peer_status(update.node, update.machine, update.status)
         self.triggers.due.set()
 
-    def _ends_proved(self, ends: Iterable[EndedAttempt]) -> None:
+    def _record_proved_ends(self, ends: Iterable[EndedAttempt]) -> None:
         self.job_committer.collect_ends(ends)
 
-    def _peer_proved_end(self, ended: EndedAttempt) -> None:
+    def _handle_peer_end(self, ended: EndedAttempt) -> None:
         self.job_committer.handle_peer_end(ended)
 
     def _commit_due_ends(self) -> None:
         self.job_committer.sweep()
 
     async def _serve_forwarded(self, request: Request) -> Response:
-        """Serve a request that a peer forwarded; whatever goes wrong becomes a response."""
+        """Serve a request that a peer forwarded; every error becomes a response."""
         return await self.job_api.serve_locally(request)
--- a/src/sandladder/controller/statistics.py
+++ b/src/sandladder/controller/statistics.py
@@ -1,4 +1,4 @@
-"""A line in the log now and then: what was checked, committed and rejected."""
+"""Periodic logging of the counters of the gate and of the group commit."""
 
 import logging
 
@@ -11,16 +11,16 @@
 
 
 class StatisticsLog:
-    """Logs the counters of the gate and of the group commit."""
+    """Logs the counters of the gate and of the group commit at intervals."""
 
     def __init__(self, gate: Gate, committer: GroupCommitter, interval_s: float) -> None:
-        """`interval_s`: how often, in seconds."""
+        """Create the log; `interval_s` is the time between two lines, in seconds."""
         self._gate = gate
         self._committer = committer
         self._interval_s = interval_s
 
     async def run(self) -> None:
-        """Log at each interval until cancelled."""
+        """Log once per interval until cancelled."""
         while True:
             await anyio.sleep(self._interval_s)
             self._log()
@@ -28,7 +28,7 @@
     def _log(self) -> None:
         gate, committer = self._gate, self._committer
         log.info(
-            "gate: %d premises checked (a full scan: %d), verdicts %s; "
+            "gate: %d premises checked (%d without the index), verdicts %s; "
             "%d transactions committed (%s), %d rejected (%s), %d changes waiting",
             gate.checked,
             gate.full_scan_checks,
--- a/tests/test_job_api.py
+++ b/tests/test_job_api.py
@@ -1,4 +1,4 @@
-"""The job API: which service answers what, with which status code, here or at a peer."""
+"""The job API: routing, status codes, idempotent requests and forwarding to peers."""
 
 from collections.abc import Callable
 from types import SimpleNamespace
@@ -81,7 +81,7 @@
     ],
     ids=lambda value: type(value).__name__ if isinstance(value, Answer) else "",
 )
-def test_each_answer_has_the_status_and_body_of_the_protocol(
+def test_each_answer_encodes_the_status_and_body_of_the_protocol(
     answer: Answer, status: int, retry_after: int | None, body: Any
 ) -> None:
     encoded = b"" if body is None else cbor2.dumps(body)
@@ -90,7 +90,7 @@
 
 
 class RecordingServices:
-    """Stands in for the services behind the router and notes what they are asked."""
+    """Fake services behind the router that record their calls."""
 
     def __init__(self) -> None:
         self.calls: list[tuple[str, object]] = []
@@ -123,7 +123,7 @@
         ("GET", "/", 404, []),
     ],
 )
-def test_a_request_goes_to_the_service_of_its_path_and_method(
+def test_a_request_is_routed_by_path_and_method(
     method: str, path: str, status: int, calls: list[tuple[str, object]]
 ) -> None:
     services = RecordingServices()
@@ -137,20 +137,25 @@
 
 
 class FakePeers:
-    """Stands in for the peer service: what reaches a peer is noted and answered there."""
+    """Fake peer service that records what is sent to peers and answers forwarded requests."""
 
-    def __init__(self, able: int | None) -> None:
-        self._able = able  # the newest schema that the one able peer knows
-        self.relayed: list[Request] = []
+    def __init__(self, peer_schema: int | None) -> None:
+        # The newest schema that the only serving peer knows; None without one.
+        self._peer_schema = peer_schema
+        self.forwarded: list[Request] = []
         self.notified: list[set[str]] = []
         self.announced = 0
 
     def find_serving_peer(self, schema_version: int = SCHEMA_V1) -> str | None:
-        return "node-1" if self._able is not None and self._able >= schema_version else None
+        return (
+            "node-1"
+            if self._peer_schema is not None and self._peer_schema >= schema_version
+            else None
+        )
 
     async def forward(self, request: Request, peer: str) -> Response:
         assert peer == "node-1"
-        self.relayed.append(request)
+        self.forwarded.append(request)
         return OK_THERE
 
     def assignee(self, team: str) -> str:
@@ -169,16 +174,16 @@
     request: Request = STATUS_QUERY,
     reachable: bool = True,
     store_answers: bool = True,
-    takes_s: float = 0.0,
+    duration_s: float = 0.0,
 ) -> Response:
-    """Have a request served by a forwarder, in virtual time; serving it here takes a while."""
+    """Serve a request through a forwarder in virtual time; serving it here takes `duration_s`."""
 
     async def main() -> Response:
         store = SimpleNamespace(last_answer_at=clock.now())
         forwarder = RequestForwarder(peers, store, lambda: reachable, REPORT_S)
 
         async def serve_here(request: Request) -> Response:
-            deadline = clock.now() + takes_s
+            deadline = clock.now() + duration_s
             while clock.now() < deadline:
                 await anyio.sleep(REPORT_S / 32)
                 if store_answers:
@@ -193,40 +198,42 @@
 def test_a_request_is_served_here_when_no_peer_reaches_the_store() -> None:
     peers = FakePeers(None)
     assert serve_with_forwarder(peers, reachable=False) == OK_HERE
-    assert peers.relayed == []
+    assert peers.forwarded == []
 
 
-def test_a_request_is_served_here_as_long_as_the_store_answers() -> None:
+def test_a_request_is_served_here_while_the_store_answers() -> None:
     peers = FakePeers(SCHEMA_V2)
-    assert serve_with_forwarder(peers, takes_s=REPORT_S) == OK_HERE
-    assert peers.relayed == []
+    assert serve_with_forwarder(peers, duration_s=REPORT_S) == OK_HERE
+    assert peers.forwarded == []
 
 
 def test_a_request_is_forwarded_at_once_when_the_store_is_known_to_be_unreachable() -> None:
     peers = FakePeers(SCHEMA_V2)
     assert serve_with_forwarder(peers, reachable=False) == OK_THERE
-    assert len(peers.relayed) == 1
+    assert len(peers.forwarded) == 1
 
 
-def test_a_request_that_waits_is_forwarded_when_the_store_stops_answering() -> None:
+def test_a_waiting_request_is_forwarded_when_the_store_stops_answering() -> None:
     peers = FakePeers(SCHEMA_V2)
-    assert serve_with_forwarder(peers, store_answers=False, takes_s=60.0) == OK_THERE
-    assert len(peers.relayed) == 1
+    assert serve_with_forwarder(peers, store_answers=False, duration_s=60.0) == OK_THERE
+    assert len(peers.forwarded) == 1
 
 
 @pytest.mark.parametrize(
-    ("dependencies", "able", "expected"),
+    ("dependencies", "peer_schema", "expected"),
     [
         (None, SCHEMA_V1, OK_THERE),
         (["job-000002"], SCHEMA_V1, OK_HERE),
         (["job-000002"], SCHEMA_V2, OK_THERE),
     ],
 )
-def test_a_submission_with_dependencies_goes_to_no_peer_that_ignores_them(
-    dependencies: list[str] | None, able: int, expected: Response
+def test_a_submission_with_dependencies_is_not_forwarded_to_a_peer_that_ignores_them(
+    dependencies: list[str] | None, peer_schema: int, expected: Response
 ) -> None:
     request = Request("POST", "/work", cbor2.dumps(job(1, awaits=dependencies)))
-    assert serve_with_forwarder(FakePeers(able), request=request, reachable=False) == expected
+    assert (
+        serve_with_forwarder(FakePeers(peer_schema), request=request, reachable=False) == expected
+    )
 
 
 def job_api(heartbeat: Callable[[Request], Any], router: Any = None, health: Any = None) -> JobApi:
@@ -243,9 +250,7 @@
     ],
 )
 @pytest.mark.parametrize("path", ["/v1/report", "/work"])
-def test_an_error_becomes_an_answer_that_is_retried(
-    path: str, error: Exception, expected: Answer
-) -> None:
+def test_an_error_becomes_a_retriable_answer(path: str, error: Exception, expected: Answer) -> None:
     async def fail(request: Request) -> Response:
         raise error
 
@@ -256,7 +261,7 @@
     anyio.run(main)
 
 
-def test_heartbeats_go_to_their_handler_and_no_further() -> None:
+def test_heartbeats_are_served_only_by_their_handler() -> None:
     async def heartbeat(request: Request) -> Response:
         return Response(421, request.body)
 
@@ -269,7 +274,7 @@
 
 
 @pytest.mark.parametrize(
-    ("loaded", "types", "reachable", "able", "status"),
+    ("loaded", "types", "reachable", "peer_schema", "status"),
     [
         (True, True, True, None, 200),
         (True, True, True, SCHEMA_V1, 200),
@@ -279,12 +284,12 @@
         (True, False, True, None, 503),
     ],
 )
-def test_a_controller_is_healthy_unless_users_are_served_better_elsewhere(
-    loaded: bool, types: bool, reachable: bool, able: int | None, status: int
+def test_a_controller_is_unhealthy_if_not_loaded_or_if_only_a_peer_reaches_the_store(
+    loaded: bool, types: bool, reachable: bool, peer_schema: int | None, status: int
 ) -> None:
     cache, watch = SimpleNamespace(machine_types={"small": 1} if types else {}), SimpleNamespace()
     watch.loaded = loaded
-    health = HealthCheck(cache, watch, FakePeers(able), lambda: reachable)
+    health = HealthCheck(cache, watch, FakePeers(peer_schema), lambda: reachable)
 
     async def main() -> None:
         api = job_api(lambda request: None, health=health)
@@ -295,21 +300,21 @@
 
 
 class FakeCommitter:
-    """Commits a change into the cache at once, or refuses it, or gives no outcome."""
+    """Fake committer that applies each change to the cache at once or rejects it."""
 
     full = False
 
     def __init__(self, cache: StateCache) -> None:
         self._cache = cache
-        self.refuses: PreconditionFailedError | None = None
+        self.rejection: PreconditionFailedError | None = None
         self.changes: list[str] = []
 
     def add(self, change: PendingChange) -> PendingChange:
         self.changes.append(change.name)
         transaction = Transaction(self._cache)
         try:
-            if self.refuses is not None:
-                raise self.refuses
+            if self.rejection is not None:
+                raise self.rejection
             change.apply(transaction)
         except PreconditionFailedError as refusal:
             change.resolve(refusal)
@@ -322,7 +327,7 @@
 
 
 class Services:
-    """The services of the job API over a cache that is always current."""
+    """The services of the job API over a cache that is always up to date."""
 
     def __init__(self) -> None:
         cluster_view, self.planner, self.cache, _ = scene()
@@ -346,7 +351,7 @@
             committer=self.committer,
             peers=self.peers,
             store_reachable=lambda: self.reachable,
-            wall=lambda: 0.0,
+            wall_clock=lambda: 0.0,
             timeout_s=REPORT_S,
         )
         self.cancellations = CancellationService(
@@ -355,20 +360,20 @@
             cluster_view=cluster_view,
             committer=self.committer,
             peers=self.peers,
-            wall=lambda: 0.0,
+            wall_clock=lambda: 0.0,
             timeout_s=REPORT_S,
         )
         self.lookup = lookup
 
     async def barrier(self) -> None:
-        """As the watch: the cache is current."""
+        """Replace `StoreWatch.barrier`; the cache is always up to date."""
         self.barriers += 1
 
     async def resolve(self, names: list[str]) -> None:
-        """As the dependency resolver."""
+        """Replace `DependencyResolver.resolve`."""
 
     async def read_finished_jobs(self, names: list[str]) -> dict[str, FinishedJob | None]:
-        """As the dependency resolver: what is not in memory was never accepted."""
+        """Replace `DependencyResolver.read_finished_jobs`; no record is outside the cache."""
         return {name: self.cache.finished_job(name) for name in names}
 
     def submit(self, number: int, **fields: Any) -> Answer:
@@ -401,9 +406,9 @@
     assert services.committer.changes == []
 
 
-def test_a_submission_that_another_controller_committed_meanwhile_is_not_refused() -> None:
+def test_a_submission_committed_concurrently_by_another_controller_is_not_refused() -> None:
     services = Services()
-    services.committer.refuses = PreconditionFailedError("known")
+    services.committer.rejection = PreconditionFailedError("known")
     assert services.submit(1) == RetryLater()
     accept(services.cache)
     assert services.submit(1) == KnownJob("job-000001", PENDING, 0, 0)
@@ -428,7 +433,7 @@
     assert services.barriers and services.committer.changes == []
 
 
-def test_a_submission_is_decided_later_while_the_machine_types_are_unknown() -> None:
+def test_a_submission_is_retried_while_the_machine_types_are_unknown() -> None:
     services = Services()
     services.cache.machine_types.clear()
     assert services.submit(1, vcpus=500.0) == RetryLater("the machine types are not known yet")
@@ -445,16 +450,16 @@
     assert services.cache.jobs["job-000001"].dependencies == ("job-000002",)
 
 
-@pytest.mark.parametrize("trouble", ["full", "unreachable"])
-def test_a_submission_that_cannot_be_committed_now_is_retried(trouble: str) -> None:
+@pytest.mark.parametrize("condition", ["full", "unreachable"])
+def test_a_submission_that_cannot_be_committed_now_is_retried(condition: str) -> None:
     services = Services()
-    services.reachable = trouble != "unreachable"
-    services.committer.full = trouble == "full"
+    services.reachable = condition != "unreachable"
+    services.committer.full = condition == "full"
     assert services.submit(1) == RetryLater()
     assert services.committer.changes == []
 
 
-def test_a_cancellation_of_what_runs_is_made_known_to_the_other_controllers_each_time() -> None:
+def test_each_cancellation_of_a_running_job_is_announced_to_the_other_controllers() -> None:
     services = Services()
     found = accept(services.cache)
     transaction = Transaction(services.cache)
@@ -467,7 +472,7 @@
     assert services.committer.changes == [f"cancel {found.id}"]
 
 
-def test_a_cancellation_can_be_repeated_and_outlives_a_repeated_submission() -> None:
+def test_a_cancellation_is_idempotent_and_persists_after_a_repeated_submission() -> None:
     services = Services()
     accept(services.cache)
     for _ in range(2):
@@ -477,10 +482,10 @@
     assert isinstance(services.submit(1), KnownJob)
 
 
-def test_a_cancellation_of_a_job_that_ends_meanwhile_is_answered_with_its_end() -> None:
+def test_cancelling_a_job_that_finishes_concurrently_returns_its_final_state() -> None:
     services = Services()
     accept(services.cache)
-    services.committer.refuses = PreconditionFailedError("not live")
+    services.committer.rejection = PreconditionFailedError("not live")
     assert services.cancel("job-000001") == RetryLater()
     services.cache.add_finished_job("job-000001", FinishedJob(DONE, 2))
     assert services.cancel("job-000001") == KnownJob("job-000001", DONE)
@@ -492,7 +497,7 @@
     assert services.status(job_id) == services.cancel(job_id) == UnknownJob()
 
 
-def test_a_job_whose_record_cannot_be_read_is_not_called_unknown() -> None:
+def test_a_job_with_an_unreadable_record_is_not_reported_as_unknown() -> None:
     services = Services()
     services.cache.unreadable.add("s/j/job-000001")
     for serve in (services.status, services.cancel):
