--- a/src/sandladder/cli.py
+++ b/src/sandladder/cli.py
@@ -15,7 +15,7 @@
 from sandladder.config import Settings, SettingsError, load
 
 OPERATOR_ENV = "SANDLADDER_OPERATOR"
-_LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
+_LOG_LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
 
 def _parser() -> argparse.ArgumentParser:
@@ -40,8 +40,8 @@
     parser.add_argument(
         "--retire",
         metavar="NODE",
-        help="say that a controller of the settings never comes back, so that an upgrade does "
-        "not wait for it, and exit (see docs/upgrading.md)",
+        help="record that a controller in the settings is permanently removed, so that an upgrade "
+        "does not wait for it, and exit (see docs/upgrading.md)",
     )
     parser.add_argument("--version", action="version", version=f"sandladder {__version__}")
     return parser
@@ -52,14 +52,16 @@
 
     controller = Controller(settings, Random())
 
-    async def go_when_told(signals: AsyncIterator[signal.Signals]) -> None:
+    async def leave_on_signal(signals: AsyncIterator[signal.Signals]) -> None:
         async for _ in signals:
-            logging.getLogger(__name__).info("told to end: handing over")
+            logging.getLogger(__name__).info(
+                "received SIGTERM; handing over teams and shutting down"
+            )
             await controller.leave()
 
     with anyio.open_signal_receiver(signal.SIGTERM) as signals:
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(go_when_told, signals)
+            tasks.start_soon(leave_on_signal, signals)
             await controller.run()
             tasks.cancel_scope.cancel()
 
@@ -78,17 +80,17 @@
         return f"{node} is not named in the settings"
     deployment = settings.platform.deployment
     client = HttpClient(*parse_address(settings.platform.external.state))
-    state = StoreClient(client, deployment.state, deployment.workers.lease_s)
+    store = StoreClient(client, deployment.state, deployment.workers.lease_s)
     try:
-        return await retire_controller(state, node)
+        return await retire_controller(store, node)
     except (StoreRequestError, UnknownOutcomeError) as error:
-        return f"the state service: {error}"
+        return f"key-value store: {error}"
     finally:
         await client.aclose()
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the program; the exit status."""
+    """Run the command and return its exit status."""
     args = _parser().parse_args(argv)
     operator = Path(args.operator) if args.operator else None
     try:
@@ -109,7 +111,7 @@
     level = os.environ.get("LOG_LEVEL", "info").lower()
     logging.basicConfig(
         stream=sys.stderr,
-        level=_LEVELS.get(level, logging.INFO),
+        level=_LOG_LEVELS.get(level, logging.INFO),
         format="%(levelname)s %(name)s: %(message)s",
     )
     try:
