--- a/src/sandladder/autoscaling/autoscaler.py
+++ b/src/sandladder/autoscaling/autoscaler.py
@@ -128,7 +128,7 @@
 
     async def _round(self) -> None:
         now = self._cluster_view.now = clock.now()
-        self._cluster_view.wall_offset_s = self._controller.wall() - now
+        self._cluster_view.wall_offset_s = self._controller.wall_clock_s() - now
         self._policy.observe_jobs()
         await self._types.update(self._lease.acquired)
         if await self._lease.ensure():
@@ -140,7 +140,7 @@
         self._reconciler.forget_sightings()
 
     async def _scale(self) -> None:
-        now, wall = clock.now(), self._controller.wall()
+        now, wall = clock.now(), self._controller.wall_clock_s()
         await self._reconciler.reconcile(now, wall)
         await self._drainer.drain(wall)
         await self._drainer.return_drained(wall)
@@ -154,7 +154,7 @@
     async def _scale_out(self) -> None:
         """Ask for instances, for all at once: the rest of a round should not wait for refusals."""
         async with anyio.create_task_group() as launches:
-            wall = self._controller.wall()
+            wall = self._controller.wall_clock_s()
             for request in self._policy.scale_out_requests(wall, self._records.unwritten):
                 if self._cloud.rate_limit.delay(1) > 0:
                     break  # the most urgent come first; the rest is worked out anew next time
--- a/src/sandladder/autoscaling/controller_status.py
+++ b/src/sandladder/autoscaling/controller_status.py
@@ -15,7 +15,7 @@
             more, of several that did, while other controllers still receive heartbeats.
         uptime_s: for how long the controller has run, in seconds, at a moment on the steady clock.
         fencing_token: the controller's current fencing token.
-        wall: the time of day, in seconds.
+        wall_clock_s: the time of day, in seconds.
     """
 
     records_loaded: Callable[[], bool]
@@ -23,4 +23,4 @@
     isolated: Callable[[float], bool]
     uptime_s: Callable[[float], float]
     fencing_token: Callable[[], int]
-    wall: Callable[[], float]
+    wall_clock_s: Callable[[], float]
--- a/src/sandladder/autoscaling/instance_launcher.py
+++ b/src/sandladder/autoscaling/instance_launcher.py
@@ -68,7 +68,7 @@
         if len(machines) < request.number:
             self._policy.note_refused(request)
         if machines:
-            wall = self._controller.wall()
+            wall = self._controller.wall_clock_s()
             record = Machine(request.type, request.zone, request.spot, ACTIVE, wall)
             self._records.note(dict.fromkeys(machines, record))
 
--- a/src/sandladder/controller/services.py
+++ b/src/sandladder/controller/services.py
@@ -361,7 +361,7 @@
                 isolated=self.agent_service.is_isolated,
                 uptime_s=self.lease_expiry.uptime_s,
                 fencing_token=self._fencing_token,
-                wall=self.wall,
+                wall_clock_s=self.wall,
             ),
         )
 
--- a/tests/test_autoscaler.py
+++ b/tests/test_autoscaler.py
@@ -38,7 +38,7 @@
     isolated=lambda now: False,
     uptime_s=lambda now: 100.0,
     fencing_token=lambda: 7,
-    wall=lambda: 50.0,
+    wall_clock_s=lambda: 50.0,
 )
 REQUEST = ScaleOutRequest("small", "north", True, 2)
 
