--- a/src/sandladder/autoscaling/__init__.py
+++ b/src/sandladder/autoscaling/__init__.py
@@ -1,11 +1,10 @@
-"""Scaling out and in: which instances the cloud runs for the cluster.
+"""Autoscaling: scales the cluster's cloud instances out and in.
 
-One controller at a time is the autoscaler, under a short lease in the store.  The package decides
-what to ask the cloud for and what to drain (`ScalingPolicy`, pure) and carries it out
-(`Autoscaler`).  It owns the autoscaler's key, the records of instances and machine types, and what
-it remembers of demand, refusals and boots.  It never places a task, never stops one, and never
-returns an instance on which something may run, but for one that neither it nor any other
-controller can reach.
+One controller at a time is the autoscaler, under a short lease in the store.  `ScalingPolicy`
+decides which instances to request and which to drain, without I/O; `Autoscaler` carries the
+decisions out.  The package owns the autoscaler's key, the records of instances and machine types,
+and the history of demand, refusals and boots.  It never places or stops a task, and it never
+returns an instance on which a task may run, except one that no controller can reach.
 """
 
 from sandladder.autoscaling.autoscaler import Autoscaler
--- a/src/sandladder/autoscaling/autoscaler.py
+++ b/src/sandladder/autoscaling/autoscaler.py
@@ -1,4 +1,4 @@
-"""Scales the instances out and in while this controller is the autoscaler."""
+"""The loop that scales instances out and in while this controller is the autoscaler."""
 
 import logging
 
@@ -28,18 +28,18 @@
 
 log = logging.getLogger(__name__)
 
-# Three rounds in a heartbeat interval, but no more than one in the time of two cloud requests.
-_ROUNDS_PER_HEARTBEAT, _REQUESTS_PER_ROUND = 3, 2
-# The worker lease is so many times the autoscaler lease's time to live.
-_TTLS_PER_WORKER_LEASE = 3
-# How often the cloud's catalog is read, in worker leases.
-_CATALOG_LEASES = 2
-# How often records that can wait are written, in heartbeat intervals.
-_WRITE_HEARTBEATS = 2
+# Limits on the frequency of rounds: the heartbeat interval and the cloud's request rate.
+_ROUNDS_PER_HEARTBEAT_INTERVAL, _CLOUD_REQUESTS_PER_ROUND = 3, 2
+# The autoscaler lease's time to live is the worker lease divided by this.
+_LEASE_TTLS_PER_WORKER_LEASE = 3
+# Interval between reads of the cloud's catalog, in worker leases.
+_CATALOG_INTERVAL_LEASES = 2
+# Interval between writes of records that are not urgent, in heartbeat intervals.
+_WRITE_INTERVAL_HEARTBEATS = 2
 
 
 class Autoscaler:
-    """Acquires the autoscaler's lease when it is free, and scales while it lasts."""
+    """Acquires the autoscaler lease when it is free, and scales while the lease is valid."""
 
     def __init__(
         self,
@@ -51,15 +51,16 @@
         connect: HttpConnector,
         controller: ControllerStatus,
     ) -> None:
-        """
+        """Initialize the autoscaler and its components.
+
         Args:
-            cluster_view: what is known of the machines, with the records and the settings.
-            store: grants and renews the autoscaler's lease.
+            cluster_view: the state of the machines, with the records and the settings.
+            store: grants and renews the autoscaler lease.
             committer: writes records.
-            limits: how large a transaction may be.
+            limits: the limits on the size of a transaction.
             cloud: creates, lists and returns instances.
-            connect: makes a client for an instance's agent.
-            controller: what is asked of the controller that this is part of.
+            connect: creates a client for an instance's agent.
+            controller: the status of this controller.
         """
         settings, cache = cluster_view.settings, cluster_view.cache
         deployment = settings.platform.deployment
@@ -67,17 +68,20 @@
         self._cluster_view = cluster_view
         self._cloud = cloud
         self._controller = controller
-        self._pause_s = max(
-            workers.report_s / _ROUNDS_PER_HEARTBEAT, _REQUESTS_PER_ROUND / deployment.cloud.rps
+        self._round_interval_s = max(
+            workers.report_s / _ROUNDS_PER_HEARTBEAT_INTERVAL,
+            _CLOUD_REQUESTS_PER_ROUND / deployment.cloud.rps,
         )
         self._policy = ScalingPolicy(cluster_view)
-        self._types = MachineTypeUpdater(cache, cloud, committer, _CATALOG_LEASES * workers.lease_s)
+        self._machine_types = MachineTypeUpdater(
+            cache, cloud, committer, _CATALOG_INTERVAL_LEASES * workers.lease_s
+        )
         self._records = InstanceRecordWriter(
             cache,
             committer,
             limits,
             deployment.state.value_bytes,
-            _WRITE_HEARTBEATS * workers.report_s,
+            _WRITE_INTERVAL_HEARTBEATS * workers.report_s,
         )
         self._reconciler = InstanceReconciler(
             cache, cloud, self._records, deployment.cloud.list_lag_s
@@ -92,72 +96,72 @@
             controller,
         )
         self._launcher = InstanceLauncher(
-            settings.node, cloud, self._policy, self._records, controller, self._pause_s
+            settings.node, cloud, self._policy, self._records, controller, self._round_interval_s
         )
         self._lease = AutoscalerLease(
             settings.node,
-            workers.lease_s / _TTLS_PER_WORKER_LEASE,
+            workers.lease_s / _LEASE_TTLS_PER_WORKER_LEASE,
             cache,
             store,
             committer,
             controller,
-            self._start_anew,
+            self._reset,
         )
 
     async def run(self) -> None:
-        """Run rounds until cancelled; an error that the cloud or the store causes ends a round.
+        """Run rounds until cancelled; an error from the cloud or the store ends only the round.
 
-        Cancelled, a request to the cloud may have been carried out: the next autoscaler sees it in
-        the cloud's list.
+        On cancellation a request to the cloud may have been carried out; the next autoscaler
+        finds its result in the cloud's list.
         """
         while True:
-            await anyio.sleep(self._pause_s)
+            await anyio.sleep(self._round_interval_s)
             if not self._controller.records_loaded():
                 continue
             try:
-                await self._round()
+                await self._run_round()
             except CloudError as error:
-                log.info("no scaling this round, as the cloud failed: %s", error)
+                log.info("autoscaling round aborted by a cloud error: %s", error)
             except (
                 StoreRequestError,
                 LeaseExpiredError,
                 PreconditionFailedError,
                 MalformedMessageError,
             ) as error:
-                log.info("no scaling this round: %s", error)
+                log.info("autoscaling round aborted: %s", error)
 
-    async def _round(self) -> None:
+    async def _run_round(self) -> None:
         now = self._cluster_view.now = clock.now()
         self._cluster_view.wall_offset_s = self._controller.wall_clock_s() - now
         self._policy.observe_jobs()
-        await self._types.update(self._lease.acquired)
-        if await self._lease.ensure():
+        await self._machine_types.update(self._lease.acquired)
+        if await self._lease.ensure_held():
             await self._scale()
 
-    def _start_anew(self) -> None:
-        """Forget what was learnt when this controller last was the autoscaler."""
+    def _reset(self) -> None:
+        """Discard the state left from an earlier period as the autoscaler."""
         self._records.discard()
-        self._reconciler.forget_sightings()
+        self._reconciler.clear_listing_times()
 
     async def _scale(self) -> None:
-        now, wall = clock.now(), self._controller.wall_clock_s()
-        await self._reconciler.reconcile(now, wall)
-        await self._drainer.drain(wall)
-        await self._drainer.return_drained(wall)
+        now, wall_clock_s = clock.now(), self._controller.wall_clock_s()
+        await self._reconciler.reconcile(now, wall_clock_s)
+        await self._drainer.drain(wall_clock_s)
+        await self._drainer.return_drained(wall_clock_s)
         await self._records.flush()
         self._cluster_view.now = clock.now()
         if log.isEnabledFor(logging.DEBUG):
-            log.debug("cores of all instances: %s", self._policy.describe_utilization())
+            log.debug("cores by market and use: %s", self._policy.describe_utilization())
         await self._scale_out()
         await self._records.flush()
 
     async def _scale_out(self) -> None:
-        """Ask for instances, for all at once: the rest of a round should not wait for refusals."""
+        """Send the scale-out requests concurrently, so that refusals do not delay the round."""
         async with anyio.create_task_group() as launches:
-            wall = self._controller.wall_clock_s()
-            for request in self._policy.scale_out_requests(wall, self._records.unwritten):
+            wall_clock_s = self._controller.wall_clock_s()
+            for request in self._policy.scale_out_requests(wall_clock_s, self._records.unwritten):
                 if self._cloud.rate_limit.delay(1) > 0:
-                    break  # the most urgent come first; the rest is worked out anew next time
+                    break  # requests are in order of urgency; the next round recomputes the rest
                 launches.start_soon(self._launcher.launch, request)
-                # It counts against the limit before the next one is begun.
-                await anyio.sleep(0)  # noqa: ASYNC115 (the same; needs no further import)
+                # Lets the request spend its token before the rate limit is checked again.
+                await anyio.sleep(0)  # noqa: ASYNC115 (equivalent, without another import)
--- a/src/sandladder/autoscaling/autoscaler_lease.py
+++ b/src/sandladder/autoscaling/autoscaler_lease.py
@@ -1,4 +1,4 @@
-"""The lease under which one controller at a time is the autoscaler."""
+"""The lease that elects one controller at a time as the autoscaler."""
 
 import logging
 from collections.abc import Callable
@@ -20,14 +20,14 @@
 
 log = logging.getLogger(__name__)
 
-# The share of the time to live that is counted on, as clocks drift apart.
-_TRUSTED_SHARE = 0.95
-# The lease is renewed once less than this share of its time to live is left.
-_RENEWED_SHARE = 0.6
+# The lease is trusted for this share of its time to live, to allow for clock drift.
+_TRUSTED_TTL_SHARE = 0.95
+# The lease is renewed when less than this share of its time to live remains.
+_RENEWAL_TTL_SHARE = 0.6
 
 
 class AutoscalerLease:
-    """A key in the store under a short lease; its value names the autoscaler."""
+    """A key in the store under a short lease, whose value names the autoscaler."""
 
     def __init__(
         self,
@@ -39,15 +39,16 @@
         controller: ControllerStatus,
         on_acquired: Callable[[], None],
     ) -> None:
-        """
+        """Initialize the lease, not yet acquired.
+
         Args:
             node: this controller's name.
             ttl_s: the lease's time to live, in seconds.
             cache: the records.
             store: grants and renews leases.
             committer: writes the key.
-            controller: whether this controller may be the autoscaler.
-            on_acquired: called when this controller has become the autoscaler.
+            controller: the status of this controller.
+            on_acquired: called after this controller has become the autoscaler.
         """
         self._node = node
         self._ttl_s = ttl_s
@@ -57,44 +58,45 @@
         self._controller = controller
         self._on_acquired = on_acquired
         self._renewal: LeaseRenewal | None = None
-        self._version = 0  # of the key that is ours
+        self._key_version = 0  # of the key as this process wrote it
 
     @property
     def acquired(self) -> bool:
-        """Whether the lease was ours when it was last looked at; it may have expired since."""
+        """Whether this process held the lease at the last check; it may have expired since."""
         return self._renewal is not None
 
-    async def ensure(self) -> bool:
-        """Renew the lease in time, or acquire it when it is free; whether it is surely ours.
+    async def ensure_held(self) -> bool:
+        """Renew the lease if due or acquire it if free; return whether it is certainly held.
+
+        On cancellation a lease that was just granted is left to expire.
 
         Raises:
-            StoreRequestError: the store gave no usable answer.
+            StoreRequestError: the store returned no usable response.
             LeaseExpiredError: the new lease expired before the key was written under it.
             PreconditionFailedError: another controller has become the autoscaler.
-
-        Cancelled, a lease that was just granted expires by itself.
         """
         now = clock.now()
         if self._controller.isolated(now):
-            # All machines would seem unresponsive to us.  A controller that they reach takes over.
+            # All machines would appear unresponsive.  A controller that they can reach takes over.
             self._renewal = None
             return False
         if self._renewal is None:
             return await self._acquire_if_free(now)
-        if self._cache.version(AUTOSCALER_KEY) != self._version:
-            # Another process took it, one under our own name perhaps: two scaled side by side.
+        if self._cache.version(AUTOSCALER_KEY) != self._key_version:
+            # Another process wrote the key, possibly under the same node name.  Ignoring it would
+            # leave two autoscalers active.
             self._renewal = None
             return False
         return await self._renew_if_due(self._renewal, now)
 
     async def _renew_if_due(self, renewal: LeaseRenewal, now: float) -> bool:
-        if now > renewal.until - self._ttl_s * _RENEWED_SHARE:
+        if now > renewal.until - self._ttl_s * _RENEWAL_TTL_SHARE:
             try:
                 await self._store.renew(renewal.lease)
             except LeaseExpiredError:
                 self._renewal = None
                 return False
-            renewal = self._renewal = self._counted_from(renewal.lease, now)
+            renewal = self._renewal = self._lease_renewal(renewal.lease, now)
         return clock.now() < renewal.until
 
     async def _acquire_if_free(self, now: float) -> bool:
@@ -112,16 +114,16 @@
 
         change = PendingChange("autoscaler lease", PRIORITY_JOB, 1, apply, leased=True)
         await self._committer.add(change).wait()
-        self._renewal = self._counted_from(lease, now)
-        self._version = self._cache.version(AUTOSCALER_KEY)
+        self._renewal = self._lease_renewal(lease, now)
+        self._key_version = self._cache.version(AUTOSCALER_KEY)
         self._on_acquired()
-        log.info("%s is the autoscaler now", self._node)
+        log.info("%s became the autoscaler", self._node)
         return True
 
     def _may_acquire(self, cache: StateCache) -> bool:
-        """Whether the key is free, or left by an earlier process of this controller."""
+        """Return whether the key is free or was written by a process of this controller."""
         return cache.autoscaler_node in (None, self._node)
 
-    def _counted_from(self, lease: int, sent: float) -> LeaseRenewal:
-        """Until when a lease that was asked for at `sent` surely lasts."""
-        return LeaseRenewal(lease, sent + _TRUSTED_SHARE * self._ttl_s)
+    def _lease_renewal(self, lease: int, sent_at: float) -> LeaseRenewal:
+        """Return the renewal of a lease whose request was sent at `sent_at`."""
+        return LeaseRenewal(lease, sent_at + _TRUSTED_TTL_SHARE * self._ttl_s)
--- a/src/sandladder/autoscaling/cloud_client.py
+++ b/src/sandladder/autoscaling/cloud_client.py
@@ -1,4 +1,4 @@
-"""The client of the cloud that runs the instances."""
+"""The client of the cloud's API."""
 
 from sandladder.autoscaling.offers import ScaleOutRequest
 from sandladder.errors import SandladderError
@@ -8,15 +8,14 @@
 from sandladder.transport import HttpError, HttpRequester, Response
 
 _OK, _OVER_RATE_LIMIT, _UNAVAILABLE = 200, 429, 503
-# How many instances one request may return.
-MOST_RETURNED = 100
+MAX_INSTANCES_PER_RETURN = 100
 
 
 class CloudError(SandladderError):
-    """The cloud gave no usable answer.
+    """The cloud returned no usable response.
 
     Attributes:
-        status: the answer's HTTP status, or None if there was no whole answer.
+        status: the HTTP status of the response, or None if no complete response arrived.
     """
 
     def __init__(self, text: str, status: int | None = None) -> None:
@@ -25,43 +24,44 @@
 
 
 class NoCapacityError(CloudError):
-    """The cloud has no instances of this offer now."""
+    """The cloud has no capacity for this offer at present."""
 
 
 class CloudClient:
-    """Requests to the cloud, counted against its rate limit.
+    """Sends requests to the cloud and counts them against its rate limit.
 
-    Every method raises `CloudError` when there is no usable answer in time, and
-    `MalformedMessageError` for an answer that makes no sense.  After an error, or cancelled,
-    a request may have been carried out or not.
+    Every method raises `CloudError` if no usable response arrives before the timeout, and
+    `MalformedMessageError` if the response cannot be parsed.  After an error or a cancellation
+    the request may or may not have been carried out.
     """
 
-    def __init__(self, client: HttpRequester, timeout: float, rps: float) -> None:
-        """
+    def __init__(self, client: HttpRequester, timeout_s: float, rps: float) -> None:
+        """Initialize the client with a full rate limit budget.
+
         Args:
             client: sends the requests.
-            timeout: how long to wait for an answer, in seconds.
-            rps: the requests a second that the cloud takes from all controllers.
+            timeout_s: the timeout of a request, in seconds.
+            rps: the cloud's rate limit for all controllers together, in requests per second.
         """
         self._client = client
-        self._timeout = timeout
+        self._timeout_s = timeout_s
         self.rate_limit = AdaptiveTokenBucket(rps)
 
     async def machine_types(self) -> dict[str, MachineType]:
-        """The machine types that the cloud has, by name."""
+        """Return the cloud's machine types by name."""
         return cloud_messages.parse_catalog(
             (await self._request("GET", cloud_messages.CATALOG_PATH)).body
         )
 
     async def create_instances(self, name: str, request: ScaleOutRequest) -> list[str]:
-        """Ask for instances; the names of those that were created, perhaps fewer.
+        """Request instances and return the names of those created, possibly fewer.
 
         Args:
-            name: names the request; asked again under the same name, nothing more is created.
-            request: which instances, and how many.
+            name: the idempotency key; a request repeated under it creates nothing more.
+            request: the offer and the number of instances.
 
         Raises:
-            NoCapacityError: the cloud has none of these now.
+            NoCapacityError: the cloud has no capacity for the offer at present.
         """
         body = cloud_messages.rental_body(
             name, request.type, request.zone, request.spot, request.number
@@ -71,35 +71,35 @@
         )
 
     async def return_instances(self, machines: list[str]) -> None:
-        """Return instances; once this returns they and all that ran on them are gone."""
+        """Return instances to the cloud; their tasks have ended when this method returns."""
         await self._request(
             "POST", cloud_messages.RETURN_PATH, cloud_messages.return_body(machines)
         )
 
     async def list_machines(self) -> list[ListedMachine]:
-        """The whole list of machines, page by page; it may be older than the last one."""
-        found: list[ListedMachine] = []
+        """Return the complete list of machines, which may be older than the previous one."""
+        machines: list[ListedMachine] = []
         after = ""
         while True:
             answer = await self._request("GET", cloud_messages.machines_target(after))
             page, more = cloud_messages.parse_machines(answer.body)
-            found += page
+            machines += page
             if not more or not page:
-                return found
+                return machines
             after = page[-1].id
 
     async def _request(self, method: str, target: str, body: bytes = b"") -> Response:
         self.rate_limit.spend(1)
         try:
-            answer = await self._client.request(method, target, body, timeout=self._timeout)
+            answer = await self._client.request(method, target, body, timeout=self._timeout_s)
         except HttpError as error:
             raise CloudError(str(error)) from None
         if answer.status == _OVER_RATE_LIMIT:
             self.rate_limit.on_rejected(1)
-            raise CloudError("over the rate limit", answer.status)
+            raise CloudError("cloud rate limit exceeded", answer.status)
         self.rate_limit.on_allowed()
         if answer.status == _UNAVAILABLE and b"no capacity" in answer.body:
-            raise NoCapacityError("no capacity", answer.status)
+            raise NoCapacityError("the cloud has no capacity for the offer", answer.status)
         if answer.status != _OK:
-            raise CloudError(f"status {answer.status}", answer.status)
+            raise CloudError(f"the cloud responded with status {answer.status}", answer.status)
         return answer
--- a/src/sandladder/autoscaling/controller_status.py
+++ b/src/sandladder/autoscaling/controller_status.py
@@ -1,4 +1,4 @@
-"""What the autoscaler asks of the controller that it is part of."""
+"""The status of the local controller, as the autoscaler reads it."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -6,16 +6,16 @@
 
 @dataclass(frozen=True)
 class ControllerStatus:
-    """Answers about the controller, each as of the moment at which it is asked for.
+    """Accessors to the controller's current status.
 
     Attributes:
-        records_loaded: whether the cache has read the store once.
-        lease_alive: whether the controller's own lease in the store surely lasts.
-        isolated: whether, at a moment on the steady clock, no agent reaches this controller any
-            more, of several that did, while other controllers still receive heartbeats.
-        uptime_s: for how long the controller has run, in seconds, at a moment on the steady clock.
-        fencing_token: the controller's current fencing token.
-        wall_clock_s: the time of day, in seconds.
+        records_loaded: returns whether the cache has completed its first read of the store.
+        lease_alive: returns whether the controller's own lease in the store is certainly valid.
+        isolated: returns whether, at a time on the steady clock, this controller has lost contact
+            with all of several agents while other controllers still receive heartbeats.
+        uptime_s: returns the controller's uptime in seconds at a time on the steady clock.
+        fencing_token: returns the controller's current fencing token.
+        wall_clock_s: returns the time of day, in seconds.
     """
 
     records_loaded: Callable[[], bool]
--- a/src/sandladder/autoscaling/demand.py
+++ b/src/sandladder/autoscaling/demand.py
@@ -1,4 +1,4 @@
-"""How many cores are usually asked for, and what the instances are short of that."""
+"""The usual demand for cores, and the shortage of instances against it."""
 
 from collections import deque
 from collections.abc import Sequence
@@ -8,24 +8,24 @@
 from sandladder.model import SERVICE, JobSpec
 from sandladder.scheduling import ClusterView, Shortage
 
-# Which share of the time the instances should have what is asked for then.
-_SERVED_SHARE = 0.6
+# The quantile of the recent samples that counts as usual demand.
+_USUAL_DEMAND_QUANTILE = 0.6
 
 
 @dataclass
 class CoreDemand:
-    """Cores in use or asked for, by whether the work can wait until a spot instance has booted."""
+    """Cores in use or requested, split by whether the work can wait for a spot instance's boot."""
 
     cannot_wait: float = 0.0
     can_wait: float = 0.0
 
     @property
     def total(self) -> float:
-        """All cores, in use or asked for."""
+        """All cores in use or requested."""
         return self.cannot_wait + self.can_wait
 
     def add(self, cores: float, can_wait_for_boot: bool) -> None:
-        """Count so many cores more."""
+        """Add the cores to the matching total."""
         if can_wait_for_boot:
             self.can_wait += cores
         else:
@@ -33,7 +33,7 @@
 
 
 class DemandSample(NamedTuple):
-    """The demand at one moment, in cores."""
+    """The demand at one time, in cores."""
 
     at: float  # on the steady clock
     cannot_wait: float
@@ -41,39 +41,40 @@
 
 
 class DemandHistory:
-    """The demand of late."""
+    """The recent samples of demand."""
 
     def __init__(self, span_s: float) -> None:
-        """
+        """Initialize an empty history.
+
         Args:
-            span_s: for how long a sample is kept, in seconds.
+            span_s: the maximum age of a sample, in seconds.
         """
         self._span_s = span_s
         self._samples: deque[DemandSample] = deque()
 
     def record(self, demand: CoreDemand, now: float) -> None:
-        """Remember the demand at `now` on the steady clock, and forget what is too old."""
+        """Add a sample at `now` on the steady clock and remove expired ones."""
         self._samples.append(DemandSample(now, demand.cannot_wait, demand.total))
         while self._samples[0].at < now - self._span_s:
             self._samples.popleft()
 
     def usual_cores_that_cannot_wait(self) -> float:
-        """The cores for work that cannot wait that suffice most of the time."""
-        return _served([sample.cannot_wait for sample in self._samples])
+        """Return the usual demand, in cores, of work that cannot wait for a boot."""
+        return _usual([sample.cannot_wait for sample in self._samples])
 
     def usual_cores(self) -> float:
-        """The cores for all work that suffice most of the time."""
-        return _served([sample.total for sample in self._samples])
+        """Return the usual demand, in cores, of all work."""
+        return _usual([sample.total for sample in self._samples])
 
 
-def _served(cores: list[float]) -> float:
-    """The cores that suffice for the share of the samples that is to be served."""
+def _usual(cores: list[float]) -> float:
+    """Return the usual-demand quantile of the samples, or 0 if there are none."""
     cores.sort()
-    return cores[int(len(cores) * _SERVED_SHARE)] if cores else 0.0
+    return cores[int(len(cores) * _USUAL_DEMAND_QUANTILE)] if cores else 0.0
 
 
 def with_running_work(waiting: CoreDemand, cluster_view: ClusterView) -> CoreDemand:
-    """The demand of waiting work and of what runs, without services."""
+    """Return the demand of waiting and running work, excluding services."""
     demand = replace(waiting)
     for job in cluster_view.cache.jobs.values():
         if job.spec.kind != SERVICE and job.live:
@@ -84,22 +85,22 @@
 def usual_demand_shortages(
     history: DemandHistory, provisioned_cores: float, latest_specs: Sequence[JobSpec]
 ) -> list[Shortage]:
-    """Cores that the instances are short of, beside what waits just now.
+    """Return the tasks by which the provisioned cores fall short of the usual demand.
 
-    What waits is started when other work ends, or too late for a machine that must boot first.
-    With as many cores as are usually asked for it starts at once.
+    Provisioning for the usual demand lets new work start at once, without waiting for other work
+    to end or for an instance to boot.
 
     Args:
-        history: the demand of late.
-        provisioned_cores: the cores that can be counted on.
+        history: the recent demand.
+        provisioned_cores: the cores of usable and booting machines.
         latest_specs: the latest job of each class.
     """
-    on_spot = [spec for spec in latest_specs if spec.spot]
-    if not on_spot:
+    spot_specs = [spec for spec in latest_specs if spec.spot]
+    if not spot_specs:
         return []
-    spec = max(on_spot, key=lambda spec: spec.cpus * spec.tasks)
-    missing = int((history.usual_cores_that_cannot_wait() - provisioned_cores) / spec.cpus)
-    if missing > 0:
-        return [Shortage(spec, True, missing)]
-    missing = int((history.usual_cores() - provisioned_cores) / spec.cpus)
-    return [Shortage(spec, False, missing)] if missing > 0 else []
+    spec = max(spot_specs, key=lambda spec: spec.cpus * spec.tasks)
+    missing_tasks = int((history.usual_cores_that_cannot_wait() - provisioned_cores) / spec.cpus)
+    if missing_tasks > 0:
+        return [Shortage(spec, True, missing_tasks)]
+    missing_tasks = int((history.usual_cores() - provisioned_cores) / spec.cpus)
+    return [Shortage(spec, False, missing_tasks)] if missing_tasks > 0 else []
--- a/src/sandladder/autoscaling/headroom.py
+++ b/src/sandladder/autoscaling/headroom.py
@@ -1,4 +1,4 @@
-"""Headroom: capacity kept free for work that must start before a new instance could boot."""
+"""Headroom: capacity reserved for work that must start before a new instance could boot."""
 
 from collections import Counter
 
@@ -8,26 +8,26 @@
 from sandladder.model import JobSpec
 from sandladder.scheduling import Shortage, ZoneQuota, pack
 
-# Classes whose tasks may wait for longer than so many worker leases get no headroom.
-_PROMPT_LEASES = 2
-# The share of the headroom that a class gets whose tasks may wait for a boot.
-_BOOTABLE_SHARE = 0.5
+# Classes whose start objective exceeds this number of worker leases get no headroom.
+_MAX_START_OBJECTIVE_LEASES = 2
+# Factor on the headroom of classes whose start objective allows for a boot.
+_BOOT_IN_TIME_FACTOR = 0.5
 
 
 def reserve_headroom(inputs: ScalingInputs, history: JobHistory) -> list[Shortage]:
-    """Fill the bins with the headroom of each class, and collect what does not fit.
+    """Pack the headroom of each class into the bins and return what does not fit.
 
-    Headroom for work that may run on spot instances is not worth an on-demand one.
+    Headroom for work that may run on spot instances never requests on-demand instances.
     """
     cluster_view = inputs.cluster_view
     shortages = []
-    for cls, recent in history.classes():
-        start_within_s = inputs.objectives.waits.get(cls)
-        if start_within_s is None or start_within_s > _PROMPT_LEASES * inputs.lease_s:
+    for cls, class_history in history.classes():
+        start_within_s = inputs.objectives.start_within_s.get(cls)
+        if start_within_s is None or start_within_s > _MAX_START_OBJECTIVE_LEASES * inputs.lease_s:
             continue
-        spec = recent.latest
-        count = _headroom_tasks(inputs, recent, start_within_s)
-        zones = _zone_shares(inputs, spec, count)
+        spec = class_history.latest
+        count = _headroom_tasks(inputs, class_history, start_within_s)
+        zones = _zone_quota(inputs, spec, count)
         keep_gpus = cluster_view.avoids_gpus(spec)
         missing = count - pack(spec, count, inputs.bins, zones=zones, keep_gpus=keep_gpus)
         if missing:
@@ -35,25 +35,27 @@
     return shortages
 
 
-def _headroom_tasks(inputs: ScalingInputs, recent: ClassHistory, start_within_s: float) -> int:
-    """For how many tasks of a class capacity is kept free."""
+def _headroom_tasks(
+    inputs: ScalingInputs, class_history: ClassHistory, start_within_s: float
+) -> int:
+    """Return the number of tasks of a class for which headroom is reserved."""
     cluster_view = inputs.cluster_view
     ratio = cluster_view.settings.operator.spare_jobs
-    sizes = recent.sizes()
-    boot_s = cluster_view.boot_s(recent.latest)
+    sizes = class_history.sizes()
+    boot_s = cluster_view.boot_s(class_history.latest)
     if start_within_s < boot_s:
-        # Larger than most, and as much as arrivals vary while an instance boots.
-        deviation = recent.arrival_deviation(boot_s, cluster_view.now)
+        # The third quartile of job sizes or, if larger, the deviation of arrivals during a boot.
+        deviation = class_history.arrival_deviation(boot_s, cluster_view.now)
         count = max(sizes[len(sizes) * 3 // 4], deviation)
     else:
-        # An instance may boot in time; this is for the days on which it does not.
+        # An instance normally boots in time; this covers slow or refused launches.
         count = sizes[len(sizes) // 2]
-        ratio *= _BOOTABLE_SHARE
+        ratio *= _BOOT_IN_TIME_FACTOR
     return max(1, round(count * ratio)) if ratio else 0
 
 
-def _zone_shares(inputs: ScalingInputs, spec: JobSpec, count: int) -> ZoneQuota | None:
-    """How much of the headroom each zone may have; None if any zone will do."""
+def _zone_quota(inputs: ScalingInputs, spec: JobSpec, count: int) -> ZoneQuota | None:
+    """Return the limit on headroom per zone, or None if any zone is allowed."""
     if spec.one_zone and count:
         return single_zone(inputs, spec, count)
     return ZoneQuota((count + 1) // 2, Counter()) if spec.spread else None
--- a/src/sandladder/autoscaling/instance_drainer.py
+++ b/src/sandladder/autoscaling/instance_drainer.py
@@ -1,11 +1,11 @@
-"""Draining of instances, and their return to the cloud once nothing runs there."""
+"""Draining of instances and their return to the cloud."""
 
 import logging
 
 import anyio
 
 from sandladder import clock
-from sandladder.autoscaling.cloud_client import MOST_RETURNED, CloudClient
+from sandladder.autoscaling.cloud_client import MAX_INSTANCES_PER_RETURN, CloudClient
 from sandladder.autoscaling.controller_status import ControllerStatus
 from sandladder.autoscaling.instance_reconciler import InstanceReconciler
 from sandladder.autoscaling.instance_records import InstanceRecordWriter
@@ -21,7 +21,7 @@
 
 
 class InstanceDrainer:
-    """Drains the instances that are not needed or do not respond, and returns them."""
+    """Drains and returns instances that are surplus or unresponsive."""
 
     def __init__(
         self,
@@ -33,15 +33,16 @@
         connect: HttpConnector,
         controller: ControllerStatus,
     ) -> None:
-        """
+        """Initialize the drainer.
+
         Args:
-            cluster_view: what is known of the machines, with the records and the settings.
+            cluster_view: the state of the machines, with the records and the settings.
             policy: decides which instances to drain.
-            cloud: takes instances back.
-            records: takes the changes of instances' records.
-            reconciler: knows the instances' addresses.
-            connect: makes a client for an instance's agent.
-            controller: for how long this controller has run.
+            cloud: the client through which instances are returned.
+            records: writes the changes of instance records.
+            reconciler: provides the instances' addresses.
+            connect: creates a client for an instance's agent.
+            controller: the status of this controller.
         """
         self._cluster_view = cluster_view
         self._cache = cluster_view.cache
@@ -55,84 +56,87 @@
         self._lease_s = workers.lease_s
         self._probe_timeout_s = workers.report_s / 2
 
-    async def drain(self, wall: float) -> None:
-        """Mark instances that are to be returned, so that nothing more is placed there.
+    async def drain(self, wall_clock_s: float) -> None:
+        """Mark instances as draining, so that no more tasks are placed on them.
 
-        `wall` is the time of day, in seconds.  Cancelled, none is marked.
+        On cancellation no instance is marked.  `wall_clock_s` is the time of day, in seconds.
         """
-        draining = self._scaled_in(wall)
+        draining = self._scale_in_records(wall_clock_s)
         if self._controller.uptime_s(clock.now()) > self._lease_s:
-            for machine in await self._unreachable(self._unresponsive(wall)):
-                log.info("instance %s is unresponsive: draining it", machine)
+            for machine in await self._unreachable(self._active_unresponsive(wall_clock_s)):
+                log.info("draining unresponsive instance %s", machine)
                 record = self._cache.instances[machine]
-                draining[machine] = record._replace(state=DRAINING, since=wall)
-        self._records.note(draining)
+                draining[machine] = record._replace(state=DRAINING, since=wall_clock_s)
+        self._records.queue(draining)
 
-    def _scaled_in(self, wall: float) -> dict[str, Machine]:
-        """The instances that are not needed, or not fit for work, with their new records."""
+    def _scale_in_records(self, wall_clock_s: float) -> dict[str, Machine]:
+        """Return the new records of the instances that the policy scales in."""
         draining = {}
-        for machine in self._policy.scale_in_candidates(wall):
+        for machine in self._policy.scale_in_candidates(wall_clock_s):
             capacity = self._cluster_view.free_capacity(machine)
             record = self._records.record(machine)
             if capacity is not None and (record is None or record.state == ACTIVE):
                 log.info("draining instance %s", machine)
                 draining[machine] = Machine(
-                    capacity.type, capacity.zone, capacity.spot, DRAINING, wall
+                    capacity.type, capacity.zone, capacity.spot, DRAINING, wall_clock_s
                 )
         return draining
 
-    def _unresponsive(self, wall: float) -> list[str]:
-        """The unresponsive instances that are not being drained already."""
-        found = []
-        for machine in self._policy.unresponsive(wall):
+    def _active_unresponsive(self, wall_clock_s: float) -> list[str]:
+        """Return the unresponsive instances that are not draining yet."""
+        machines = []
+        for machine in self._policy.unresponsive(wall_clock_s):
             record = self._records.record(machine)
             if record is not None and record.state == ACTIVE:
-                found.append(machine)
-        return found
+                machines.append(machine)
+        return machines
 
     async def _unreachable(self, machines: list[str]) -> list[str]:
-        """Those of the machines that do not answer this controller either."""
-        found: list[str] = []
+        """Return the machines whose agents do not respond to this controller's probe."""
+        unreachable: list[str] = []
 
         async def probe(machine: str) -> None:
             address = self._reconciler.address(machine)
             if address is None:
                 return
-            # No connection is kept, so there is nothing to close.
+            # keep=0 keeps no connection open, so the client needs no close.
             client = self._connect(*parse_address(address), keep=0)
             try:
                 await client.request(
                     "GET", agent_messages.STATUS_PATH, timeout=self._probe_timeout_s
                 )
             except HttpError:
-                found.append(machine)
+                unreachable.append(machine)
 
         async with anyio.create_task_group() as probes:
             for machine in machines:
                 probes.start_soon(probe, machine)
-        return found
+        return unreachable
 
-    async def return_drained(self, wall: float) -> None:
-        """Return drained instances, and unresponsive ones whatever runs there.
+    async def return_drained(self, wall_clock_s: float) -> None:
+        """Return drained instances, and unresponsive draining ones regardless of their tasks.
 
-        `wall` is the time of day, in seconds.
+        On cancellation instances may be returned without a change of their records; the next
+        reconciliation with the cloud's list corrects them.
 
-        Raises:
-            CloudError: the cloud did not say that it took them; they are returned again.
+        Args:
+            wall_clock_s: the time of day, in seconds.
 
-        Cancelled, instances may be returned without a change of their records: the cloud's list
-        shows it.
+        Raises:
+            CloudError: the cloud did not confirm the return; it is retried.
         """
-        unresponsive = set(self._policy.unresponsive(wall))
+        unresponsive = set(self._policy.unresponsive(wall_clock_s))
         ready = [
             machine
             for machine, record in self._cache.instances.items()
             if record.state == DRAINING
             and (machine not in self._cache.attempts_by_machine or machine in unresponsive)
-        ][:MOST_RETURNED]
+        ][:MAX_INSTANCES_PER_RETURN]
         if not ready:
             return
         await self._cloud.return_instances(ready)
         log.info("returned instances %s", ready)
         instances = self._cache.instances
-        self._records.note({m: instances[m]._replace(state=GONE, since=wall) for m in ready})
+        self._records.queue(
+            {m: instances[m]._replace(state=GONE, since=wall_clock_s) for m in ready}
+        )
--- a/src/sandladder/autoscaling/instance_launcher.py
+++ b/src/sandladder/autoscaling/instance_launcher.py
@@ -1,4 +1,4 @@
-"""Carries out requests to scale out."""
+"""Execution of scale-out requests."""
 
 import logging
 
@@ -16,12 +16,12 @@
 
 log = logging.getLogger(__name__)
 
-# How often a request is sent that gets no answer.
-_ATTEMPTS = 3
+# Per scale-out request; a refusal for lack of capacity is not retried.
+_MAX_ATTEMPTS = 3
 
 
 class InstanceLauncher:
-    """Asks the cloud for instances, and notes those that it created."""
+    """Requests instances from the cloud and records those created."""
 
     def __init__(
         self,
@@ -30,51 +30,53 @@
         policy: ScalingPolicy,
         records: InstanceRecordWriter,
         controller: ControllerStatus,
-        retry_pause_s: float,
+        retry_interval_s: float,
     ) -> None:
-        """
+        """Initialize the launcher.
+
         Args:
             node: this controller's name.
             cloud: creates instances.
-            policy: remembers what the cloud refused.
-            records: takes the new instances.
-            controller: the fencing token and the time of day.
-            retry_pause_s: how long to wait before a request is sent again, in seconds.
+            policy: keeps track of refused offers.
+            records: writes the records of the new instances.
+            controller: provides the fencing token and the time of day.
+            retry_interval_s: the delay before a retry, in seconds.
         """
         self._node = node
         self._cloud = cloud
         self._policy = policy
         self._records = records
         self._controller = controller
-        self._retry_pause_s = retry_pause_s
-        self._requests = 0
+        self._retry_interval_s = retry_interval_s
+        self._request_count = 0
 
     async def launch(self, request: ScaleOutRequest) -> None:
-        """Ask for instances; what fails is logged.
+        """Request instances and log a failure.
 
-        Cancelled, or without an answer, whatever came of it shows in the cloud's list.
+        Instances created by a request that was cancelled or got no response are found in the
+        cloud's list.
         """
         try:
             await self._launch(request)
         except (CloudError, PreconditionFailedError, MalformedMessageError) as error:
-            log.info("scaling out with %s: %s", request, error)
+            log.info("scale-out request %s failed: %s", request, error)
 
     async def _launch(self, request: ScaleOutRequest) -> None:
-        self._requests += 1
-        # Never used again: a fencing token belongs to one process.
-        name = f"{self._node}-{self._controller.fencing_token()}-{self._requests}"
-        log.info("scaling out with %s", request)
+        self._request_count += 1
+        # Unique across restarts, because each process has its own fencing token.
+        name = f"{self._node}-{self._controller.fencing_token()}-{self._request_count}"
+        log.info("sending scale-out request %s", request)
         machines = await self._create(name, request)
         if len(machines) < request.number:
-            self._policy.note_refused(request)
+            self._policy.record_refusal(request)
         if machines:
-            wall = self._controller.wall_clock_s()
-            record = Machine(request.type, request.zone, request.spot, ACTIVE, wall)
-            self._records.note(dict.fromkeys(machines, record))
+            wall_clock_s = self._controller.wall_clock_s()
+            record = Machine(request.type, request.zone, request.spot, ACTIVE, wall_clock_s)
+            self._records.queue(dict.fromkeys(machines, record))
 
     async def _create(self, name: str, request: ScaleOutRequest) -> list[str]:
-        """The instances that the cloud created; none if it has no capacity."""
-        attempts_left = _ATTEMPTS
+        """Return the instances that the cloud created; none if it has no capacity."""
+        attempts_left = _MAX_ATTEMPTS
         while True:
             attempts_left -= 1
             try:
@@ -82,7 +84,7 @@
             except NoCapacityError:
                 return []
             except CloudError:
-                # Sent again under the same name, it creates nothing twice.
+                # A retry under the same name is idempotent.
                 if not attempts_left:
                     raise
-                await anyio.sleep(self._retry_pause_s)
+                await anyio.sleep(self._retry_interval_s)
--- a/src/sandladder/autoscaling/instance_reconciler.py
+++ b/src/sandladder/autoscaling/instance_reconciler.py
@@ -3,7 +3,7 @@
 import logging
 from collections.abc import Iterable
 
-from sandladder.autoscaling.cloud_client import MOST_RETURNED, CloudClient
+from sandladder.autoscaling.cloud_client import MAX_INSTANCES_PER_RETURN, CloudClient
 from sandladder.autoscaling.instance_records import InstanceRecordWriter
 from sandladder.autoscaling.instance_states import ACTIVE, DRAINING, GONE, LISTED_FAILED
 from sandladder.autoscaling.unresponsive import boot_is_overdue
@@ -12,19 +12,19 @@
 
 log = logging.getLogger(__name__)
 
-# How often the list is read in the time by which it may be late, its lag.
+# Reads of the cloud's list per list lag, the maximum staleness of the list.
 _LISTS_PER_LAG = 3
-# For how many lags a machine must be missing; a list may be older than the one before it, by twice
-# the lag at most.
+# List lags for which a machine must be missing before its instance counts as gone.  A list may be
+# older than the previous one, by up to twice the lag.
 _MISSING_LAGS = 2.5
-# For how many lags a gone instance's record is kept, and when a list last showed a machine.
-_RECORD_KEPT_LAGS, _SIGHTING_KEPT_LAGS = 6, 10
-# Records of gone instances are removed on their own once they are this share of a chunk.
-_REMOVED_SHARE = 0.25
+# Retention of a gone instance's record and of a machine's last listing time, in list lags.
+_RECORD_RETENTION_LAGS, _LISTING_RETENTION_LAGS = 6, 10
+# Obsolete records are removed without waiting for other changes above this share of a chunk.
+_REMOVAL_CHUNK_SHARE = 0.25
 
 
 class InstanceReconciler:
-    """Adopts instances that are new to the records and marks those that are gone."""
+    """Adopts listed instances that have no record and marks instances that are gone."""
 
     def __init__(
         self,
@@ -33,110 +33,116 @@
         records: InstanceRecordWriter,
         list_lag_s: float,
     ) -> None:
-        """
+        """Initialize the reconciler.
+
         Args:
             cache: the records and machine types.
-            cloud: has the list of machines.
-            records: takes the changes.
-            list_lag_s: by how much the cloud's list may be late, in seconds.
+            cloud: provides the list of machines.
+            records: writes the changes.
+            list_lag_s: the maximum staleness of the cloud's list, in seconds.
         """
         self._cache = cache
         self._cloud = cloud
         self._records = records
-        self._lag_s = list_lag_s
-        self._next_at = 0.0
-        self._listed_at: dict[str, float] = {}  # when a list last showed a machine
+        self._list_lag_s = list_lag_s
+        self._next_list_at = 0.0
+        self._listed_at: dict[str, float] = {}  # by machine, on the steady clock
         self._addresses: dict[str, str] = {}
 
-    def forget_sightings(self) -> None:
-        """Take no machine for gone that was listed only before now."""
+    def clear_listing_times(self) -> None:
+        """Discard the listing times, so that no machine counts as missing until listed again."""
         self._listed_at.clear()
 
     def address(self, machine: str) -> str | None:
-        """Where an instance's agent is reached, as `host:port`; None if no list showed it."""
+        """Return the `host:port` of an instance's agent, or None if no list included it."""
         return self._addresses.get(machine)
 
-    async def reconcile(self, now: float, wall: float) -> None:
-        """Compare the records with the cloud's list, if that is due.
+    async def reconcile(self, now: float, wall_clock_s: float) -> None:
+        """Reconcile the records with the cloud's list, if due.
+
+        Cancellation is safe, because the next list leads to the same changes.
 
         Args:
             now: the steady clock, in seconds.
-            wall: the time of day, in seconds.
+            wall_clock_s: the time of day, in seconds.
 
         Raises:
-            CloudError: the list cannot be read, or failed instances cannot be returned; what the
-                list showed is noted before they are.
-
-        Cancelled, nothing is half done: the next list shows the same.
+            CloudError: the list cannot be read, or failed instances cannot be returned after the
+                changes were queued.
         """
-        if now < self._next_at:
+        if now < self._next_list_at:
             return
-        self._next_at = now + self._lag_s / _LISTS_PER_LAG
+        self._next_list_at = now + self._list_lag_s / _LISTS_PER_LAG
         listed = await self._cloud.list_machines()
         self._listed_at |= {item.id: now for item in listed}
         self._addresses |= {item.id: item.addr for item in listed}
-        changes = self._adopted_or_failed(listed, wall)
-        changes |= self._vanished(listed, now, wall)
-        changes |= self._never_booted(listed, wall)
-        self._records.note(changes)
+        changes = self._adopted_or_failed(listed, wall_clock_s)
+        changes |= self._missing_from_list(listed, now, wall_clock_s)
+        changes |= self._overdue_boots(listed, wall_clock_s)
+        self._records.queue(changes)
         failed = [item.id for item in listed if item.state == LISTED_FAILED]
         if failed:
-            await self._cloud.return_instances(failed[:MOST_RETURNED])
-        self._remove_gone(wall)
+            await self._cloud.return_instances(failed[:MAX_INSTANCES_PER_RETURN])
+        self._remove_obsolete(wall_clock_s)
         self._addresses = {m: a for m, a in self._addresses.items() if m in self._listed_at}
-        longest_s = _SIGHTING_KEPT_LAGS * self._lag_s
-        self._listed_at = {m: at for m, at in self._listed_at.items() if now - at < longest_s}
+        retention_s = _LISTING_RETENTION_LAGS * self._list_lag_s
+        self._listed_at = {m: at for m, at in self._listed_at.items() if now - at < retention_s}
 
     def _adopted_or_failed(
-        self, listed: Iterable[ListedMachine], wall: float
+        self, listed: Iterable[ListedMachine], wall_clock_s: float
     ) -> dict[str, Machine]:
         changes = {}
         for item in listed:
             record = self._cache.instances.get(item.id)
             failed = item.state == LISTED_FAILED
             if record is None and not failed:
-                created = wall - max(0.0, item.age_s)
+                created = wall_clock_s - max(0.0, item.age_s)
                 changes[item.id] = Machine(item.type, item.zone, item.spot, ACTIVE, created)
             elif record is not None and failed and record.state != GONE:
-                log.info("instance %s has failed", item.id)
-                changes[item.id] = record._replace(state=GONE, since=wall)
+                log.info("instance %s failed", item.id)
+                changes[item.id] = record._replace(state=GONE, since=wall_clock_s)
         return changes
 
-    def _vanished(
-        self, listed: Iterable[ListedMachine], now: float, wall: float
+    def _missing_from_list(
+        self, listed: Iterable[ListedMachine], now: float, wall_clock_s: float
     ) -> dict[str, Machine]:
-        """The instances that no list has shown for long, though one did before."""
-        names = {item.id for item in listed}
+        """Return the changes for instances that have been missing from the list for too long."""
+        listed_ids = {item.id for item in listed}
         changes = {}
         for machine, record in self._cache.instances.items():
-            last = self._listed_at.get(machine)
-            if machine in names or record.state == GONE or last is None:
+            last_listed_at = self._listed_at.get(machine)
+            if machine in listed_ids or record.state == GONE or last_listed_at is None:
                 continue
-            if now - last > _MISSING_LAGS * self._lag_s:
-                log.info("instance %s is gone", machine)
-                changes[machine] = record._replace(state=GONE, since=wall)
+            if now - last_listed_at > _MISSING_LAGS * self._list_lag_s:
+                log.info("instance %s is missing from the cloud's list", machine)
+                changes[machine] = record._replace(state=GONE, since=wall_clock_s)
         return changes
 
-    def _never_booted(self, listed: Iterable[ListedMachine], wall: float) -> dict[str, Machine]:
+    def _overdue_boots(
+        self, listed: Iterable[ListedMachine], wall_clock_s: float
+    ) -> dict[str, Machine]:
         changes = {}
         for item in listed:
             record = self._cache.instances.get(item.id)
             if record is None or record.state != ACTIVE:
                 continue
             if boot_is_overdue(item, self._cache.machine_types):
-                log.info("instance %s does not boot: draining it", item.id)
-                changes[item.id] = record._replace(state=DRAINING, since=wall)
+                log.info("draining instance %s: its boot is overdue", item.id)
+                changes[item.id] = record._replace(state=DRAINING, since=wall_clock_s)
         return changes
 
-    def _remove_gone(self, wall: float) -> None:
-        """Remove the records of instances that have long been gone and on which nothing is live."""
+    def _remove_obsolete(self, wall_clock_s: float) -> None:
+        """Remove the records of gone instances without attempts, after their retention period."""
         obsolete = [
             machine
             for machine, record in self._cache.instances.items()
             if record.state == GONE
             and machine not in self._cache.attempts_by_machine
-            and wall - record.since > _RECORD_KEPT_LAGS * self._lag_s
+            and wall_clock_s - record.since > _RECORD_RETENTION_LAGS * self._list_lag_s
         ]
-        # There is no hurry: they go along with other changes, or once they are many.
-        if self._records.unwritten or len(obsolete) > _REMOVED_SHARE * self._records.chunk_size:
-            self._records.note(dict.fromkeys(obsolete))
+        # Removals are not urgent: they are batched with other changes or with one another.
+        if (
+            self._records.unwritten
+            or len(obsolete) > _REMOVAL_CHUNK_SHARE * self._records.chunk_size
+        ):
+            self._records.queue(dict.fromkeys(obsolete))
--- a/src/sandladder/autoscaling/instance_records.py
+++ b/src/sandladder/autoscaling/instance_records.py
@@ -1,4 +1,4 @@
-"""Writes what changes in the records of instances."""
+"""Batched writes of the instance records."""
 
 from collections.abc import Mapping
 
@@ -18,14 +18,14 @@
     machine_number,
 )
 
-# The share of a value that instances are put into; the rest is for what they have in common.
-_FILLED_SHARE = 0.9
-# A record of instances may take so many values, where values are short.
-_VALUES_PER_RECORD = 4
+# The share of a stored value that instances fill; the rest is for their common fields.
+_CHUNK_FILL_SHARE = 0.9
+# Maximum number of stored values that a chunk takes, when values are short.
+_MAX_VALUES_PER_CHUNK = 4
 
 
 class InstanceRecordWriter:
-    """Collects changes of instances' records and writes them together."""
+    """Queues changes of instance records and writes them in batches."""
 
     def __init__(
         self,
@@ -35,75 +35,75 @@
         value_bytes: float,
         interval_s: float,
     ) -> None:
-        """
+        """Initialize a writer with no queued changes.
+
         Args:
             cache: the records.
             committer: writes the changes.
-            limits: how large a transaction may be.
-            value_bytes: how long a value may be by the platform's settings.
-            interval_s: how often changes that can wait are written, in seconds.
+            limits: the limits on the size of a transaction.
+            value_bytes: the maximum length of a stored value in the platform's settings, in bytes.
+            interval_s: the interval between writes of changes that are not urgent, in seconds.
         """
         self._cache = cache
         self._committer = committer
         self._limits = limits
         self._interval_s = interval_s
-        self._next_at = 0.0
+        self._next_write_at = 0.0
         self._unwritten: dict[str, Machine | None] = {}
-        # How many instances share a record.
-        self.chunk_size = max(1, int(_FILLED_SHARE * value_bytes / INSTANCE_RECORD_BYTES))
+        # Number of instances per chunk, which is stored as one record.
+        self.chunk_size = max(1, int(_CHUNK_FILL_SHARE * value_bytes / INSTANCE_RECORD_BYTES))
 
     @property
     def unwritten(self) -> Mapping[str, Machine | None]:
-        """The changes that are still to be written; None for a record that is to go."""
+        """The queued changes, by machine; None marks a record to remove."""
         return self._unwritten
 
     def record(self, machine: str) -> Machine | None:
-        """An instance's record, with what is about to be written."""
+        """Return an instance's record, including any queued change."""
         return self._unwritten.get(machine, self._cache.instances.get(machine))
 
-    def note(self, records: Mapping[str, Machine | None]) -> None:
-        """Change records with the next writing; None removes an instance's record."""
+    def queue(self, records: Mapping[str, Machine | None]) -> None:
+        """Queue changes for the next write; None removes an instance's record."""
         self._unwritten.update(records)
 
     def discard(self) -> None:
-        """Drop all changes that are not written."""
+        """Drop all queued changes."""
         self._unwritten.clear()
 
     async def flush(self) -> None:
-        """Write the changes, if that is due, as long as this controller is the autoscaler.
+        """Write the queued changes, if due, while this controller is the autoscaler.
 
-        The store takes few changes: what is learnt in a while goes together, as much as fits
-        one transaction; at once goes what proves that tasks are lost.
+        Changes are batched, because the store's write rate is low; proof that tasks are lost is
+        written at once.  On cancellation the changes in flight are dropped; the next
+        reconciliation with the cloud's list restores them.
 
         Raises:
             PreconditionFailedError: this controller is no longer the autoscaler, or a record
-                cannot be read; the changes are kept.
-
-        Cancelled, changes that were being written are dropped; the cloud's list shows them again.
+                cannot be read; the changes stay queued.
         """
         now = clock.now()
-        if not self._prove_losses() and now < self._next_at:
+        if not self._has_loss_proof() and now < self._next_write_at:
             return
-        self._next_at = now + self._interval_s
+        self._next_write_at = now + self._interval_s
         while self._unwritten:
-            await self._commit_some()
+            await self._commit_batch()
 
-    def _prove_losses(self) -> bool:
-        """Whether a change says that an instance is gone on which tasks are recorded."""
-        on_machine = self._cache.attempts_by_machine
+    def _has_loss_proof(self) -> bool:
+        """Return whether a queued change marks an instance with recorded attempts as gone."""
+        attempts_by_machine = self._cache.attempts_by_machine
         return any(
-            record is not None and record.state == GONE and machine in on_machine
+            record is not None and record.state == GONE and machine in attempts_by_machine
             for machine, record in self._unwritten.items()
         )
 
-    async def _commit_some(self) -> None:
-        """Write as many changes as fit one transaction."""
+    async def _commit_batch(self) -> None:
+        """Write as many changes as one transaction can hold."""
         chunks = sorted({self._chunk(machine) for machine in self._unwritten})
-        chosen = set(chunks[: max(1, self._limits.txn_ops // _VALUES_PER_RECORD)])
+        chunk_batch = set(chunks[: max(1, self._limits.txn_ops // _MAX_VALUES_PER_CHUNK)])
         records = {
             machine: record
             for machine, record in self._unwritten.items()
-            if self._chunk(machine) in chosen
+            if self._chunk(machine) in chunk_batch
         }
         for machine in records:
             del self._unwritten[machine]
@@ -111,8 +111,8 @@
         def apply(transaction: Transaction) -> bool:
             return change_instances(transaction, records, self.chunk_size)
 
-        # Capacity for others' work and proofs of loss wait for it.
-        change = PendingChange("instance records", PRIORITY_REQUEST, len(chosen), apply)
+        # New capacity and proof of lost tasks depend on this write, hence the priority.
+        change = PendingChange("instance records", PRIORITY_REQUEST, len(chunk_batch), apply)
         try:
             await self._committer.add(change).wait()
         except PreconditionFailedError:
@@ -120,5 +120,5 @@
             raise
 
     def _chunk(self, machine: str) -> int:
-        """The number of the record that an instance is in."""
+        """Return the number of the chunk that holds an instance's record."""
         return machine_number(machine) // self.chunk_size
--- a/src/sandladder/autoscaling/instance_states.py
+++ b/src/sandladder/autoscaling/instance_states.py
@@ -1,14 +1,14 @@
-"""The states of instances, as our records and the cloud's list of machines spell them.
+"""The states of instances in the stored records and in the cloud's list of machines.
 
-The values of the first group are stored; they never change.
+The values of the first group are stored and must not change.
 """
 
 from typing import Final
 
-# In our records.
-ACTIVE: Final = "rented"  # boots or runs, and may be given work
-DRAINING: Final = "draining"  # is given no more work and is returned once nothing runs there
-GONE: Final = "gone"  # was returned, failed, or is no longer in the cloud's list
+# In the stored records.
+ACTIVE: Final = "rented"  # booting or running; tasks may be placed on it
+DRAINING: Final = "draining"  # receives no more tasks and is returned when it is empty
+GONE: Final = "gone"  # was returned, failed, or is missing from the cloud's list
 
 # In the cloud's list.
 LISTED_BOOTING: Final = "booting"
--- a/src/sandladder/autoscaling/job_history.py
+++ b/src/sandladder/autoscaling/job_history.py
@@ -1,4 +1,4 @@
-"""What recent jobs of each class looked like, and how often they came."""
+"""The sizes and arrival times of recent jobs, by class."""
 
 import math
 from collections import deque
@@ -7,40 +7,39 @@
 
 from sandladder.model import Job, JobSpec
 
-# How many jobs of a class are remembered.
-_REMEMBERED_JOBS = 32
+_MAX_JOBS_PER_CLASS = 32
 
 
 class Arrival(NamedTuple):
-    """A job, and when it was first seen."""
+    """A job's spec and the time at which the job was first observed."""
 
     at: float  # on the steady clock
     spec: JobSpec
 
 
 class ClassHistory:
-    """The recent jobs of one class; there is always at least one."""
+    """The recent jobs of one class, never empty."""
 
-    def __init__(self, first: Arrival) -> None:
-        self._arrivals = deque([first], maxlen=_REMEMBERED_JOBS)
+    def __init__(self, first_arrival: Arrival) -> None:
+        self._arrivals = deque([first_arrival], maxlen=_MAX_JOBS_PER_CLASS)
 
     def add(self, arrival: Arrival) -> None:
-        """Remember a job, and forget the oldest if there are too many."""
+        """Add a job, and remove the oldest if the history is full."""
         self._arrivals.append(arrival)
 
     @property
     def latest(self) -> JobSpec:
-        """What the latest job asked for."""
+        """The spec of the latest job."""
         return self._arrivals[-1].spec
 
     def sizes(self) -> list[int]:
-        """How many tasks each job has, the smallest first."""
+        """Return the number of tasks of each job, in ascending order."""
         return sorted(spec.tasks for _, spec in self._arrivals)
 
     def arrival_deviation(self, horizon_s: float, now: float) -> int:
-        """The standard deviation of the tasks that arrive within so many seconds."""
+        """Return the standard deviation of the number of tasks that arrive within the horizon."""
         first_at = self._arrivals[0].at
-        # Jobs that were there when this process came did not arrive just then.
+        # Jobs that existed when this process started have no known arrival time.
         arrived = [spec for at, spec in self._arrivals if at > first_at]
         if len(arrived) < 2:
             return 0
@@ -53,12 +52,12 @@
 
     def __init__(self) -> None:
         self._classes: dict[str, ClassHistory] = {}
-        self._known: set[str] = set()
+        self._live_job_ids: set[str] = set()
 
     def observe(self, jobs: Mapping[str, Job], now: float) -> None:
-        """Remember the jobs that are new among the live ones, at `now` on the steady clock."""
+        """Add the live jobs that are new, at `now` on the steady clock."""
         for job_id, job in jobs.items():
-            if job_id in self._known:
+            if job_id in self._live_job_ids:
                 continue
             arrival = Arrival(now, job.spec)
             history = self._classes.get(job.spec.job_class)
@@ -66,12 +65,12 @@
                 self._classes[job.spec.job_class] = ClassHistory(arrival)
             else:
                 history.add(arrival)
-        self._known = set(jobs)
+        self._live_job_ids = set(jobs)
 
     def classes(self) -> Iterator[tuple[str, ClassHistory]]:
-        """Each class with its recent jobs, in the order in which the classes first came."""
+        """Iterate over the classes and their histories, in order of first arrival."""
         return iter(self._classes.items())
 
     def latest_specs(self) -> list[JobSpec]:
-        """The latest job of each class."""
+        """Return the spec of the latest job of each class."""
         return [history.latest for history in self._classes.values()]
--- a/src/sandladder/autoscaling/offers.py
+++ b/src/sandladder/autoscaling/offers.py
@@ -1,4 +1,4 @@
-"""What the cloud can be asked for, at which price, and what it has refused of late."""
+"""The cloud's offers, their prices, and recent refusals."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -15,7 +15,7 @@
 
 
 class ScaleOutRequest(NamedTuple):
-    """So many instances of one offer to ask the cloud for."""
+    """A request to the cloud for a number of instances of one offer."""
 
     type: str
     zone: str
@@ -24,44 +24,45 @@
 
     @property
     def offer(self) -> Offer:
-        """The offer that is asked for."""
+        """The requested offer."""
         return Offer(self.type, self.zone, self.spot)
 
 
 class RefusedOffers:
-    """The offers for which the cloud had no capacity, each for a while after its refusal."""
+    """The offers that the cloud refused recently for lack of capacity."""
 
     def __init__(self, retry_after_s: float) -> None:
-        """
+        """Initialize an empty set of refusals.
+
         Args:
-            retry_after_s: how long an offer counts as refused, in seconds.
+            retry_after_s: the time for which an offer counts as refused, in seconds.
         """
         self._retry_after_s = retry_after_s
         self._refused_until: dict[Offer, float] = {}
 
-    def note(self, offer: Offer, now: float) -> None:
-        """The cloud refused this offer, at `now` on the steady clock."""
+    def add(self, offer: Offer, now: float) -> None:
+        """Record that the cloud refused the offer at `now` on the steady clock."""
         self._refused_until[offer] = now + self._retry_after_s
 
     def is_refused(self, offer: Offer, now: float) -> bool:
-        """Whether the offer is not to be asked for yet, at `now` on the steady clock."""
+        """Return whether the offer still counts as refused at `now` on the steady clock."""
         return self._refused_until.get(offer, 0.0) > now
 
 
 def hourly_price(machine_type: MachineType, spot: bool) -> float:
-    """What an instance costs an hour; 0 where the type is not offered so."""
+    """Return the hourly price of an instance, or 0 if the type is not offered in that market."""
     return machine_type.spot_price if spot else machine_type.price
 
 
-def types_for(spec: JobSpec, types: Iterable[MachineType]) -> list[MachineType]:
-    """The types of which an empty machine takes a task of the job."""
+def fitting_types(spec: JobSpec, types: Iterable[MachineType]) -> list[MachineType]:
+    """Return the types whose empty machines fit a task of the job."""
     return [machine_type for machine_type in types if machine_type.fits(spec)]
 
 
 def lowest_task_price(spec: JobSpec, types: Iterable[MachineType]) -> float:
-    """What a task costs an hour on the on-demand machine that suits it best; 0 if none does."""
+    """Return a task's lowest hourly price on on-demand machines, or 0 if it fits none."""
     prices = []
-    for machine_type in types_for(spec, types):
+    for machine_type in fitting_types(spec, types):
         if machine_type.price <= 0:
             continue
         by_cpus = machine_type.cpus / spec.cpus
--- a/src/sandladder/autoscaling/scale_out.py
+++ b/src/sandladder/autoscaling/scale_out.py
@@ -1,4 +1,4 @@
-"""Which offers meet the shortages at the lowest price."""
+"""Selection of the offers that cover the shortages at the lowest price."""
 
 from collections import Counter
 from collections.abc import Iterator, Sequence
@@ -8,19 +8,17 @@
 from sandladder.model import EPSILON, SERVICE, MachineType
 from sandladder.scheduling import Bin, ClusterView, Shortage, pack
 
-# Into about so many pieces the instances for a long backlog are cut, each asked for where it is
-# cheapest then.  Seen in a measured day: a sixth of the autoscaler's processor time went into
-# choosing hundreds of machines one by one in each round.
-_PIECES = 12
-# How many instances one request to the cloud may ask for.
-_MOST_INSTANCES_PER_REQUEST = 50
-# By how much each instance of an offer raises its price in comparisons, so that zones alike in
-# price take turns.
+# The instances for a long backlog are chosen in about this number of chunks.  Choosing them one by
+# one would take too much processor time.
+_BACKLOG_CHUNKS = 12
+_MAX_INSTANCES_PER_REQUEST = 50
+# Relative surcharge per existing instance of an offer in price comparisons, which spreads
+# instances over zones with equal prices.
 _SPREAD_SURCHARGE = 0.01
 
 
 class PricedOffer(NamedTuple):
-    """An offer, and its price for each core that would be used."""
+    """An offer and its hourly cost per used core, including the spread surcharge."""
 
     cost: float
     type: MachineType
@@ -29,29 +27,29 @@
 
     @property
     def offer(self) -> Offer:
-        """The offer that is priced."""
+        """The priced offer."""
         return Offer(self.type.name, self.zone, self.spot)
 
 
 def choose_instances(
     cluster_view: ClusterView, refused: RefusedOffers, shortages: Sequence[Shortage]
 ) -> list[ScaleOutRequest]:
-    """The requests that meet the shortages, for the most urgent first.
+    """Return the requests that cover the shortages, the most urgent first.
 
-    One request an offer: whether there is more of it is known once that is answered.
+    There is one request per offer, because its response shows whether more capacity is available.
 
     Args:
-        cluster_view: says which types there are, and which instances already.
-        refused: the offers that are not asked for.
+        cluster_view: provides the machine types and existing instances.
+        refused: the offers not to request.
         shortages: the tasks that lack capacity, the most urgent first.
     """
     wanted: Counter[Offer] = Counter()
-    new_bins: list[Bin] = []  # what is left of the instances asked for so far
+    new_bins: list[Bin] = []  # the remaining capacity of the instances chosen so far
     existing = Counter(
         Offer(record.type, record.zone, record.spot)
         for record in cluster_view.cache.instances.values()
     )
-    least_cpus = min((shortage.spec.cpus for shortage in shortages), default=0.0)
+    min_task_cpus = min((shortage.spec.cpus for shortage in shortages), default=0.0)
     for index, shortage in enumerate(shortages):
         spec, zones = shortage.spec, shortage.zones
         keep_gpus = cluster_view.avoids_gpus(spec)
@@ -63,19 +61,19 @@
             )
             if best is None:
                 break
-            new = Bin(best.type, best.zone, best.spot)
+            new_bin = Bin(best.type, best.zone, best.spot)
             if zones is None:
-                # Most of a long backlog goes in pieces, the rest machine by machine.
-                each = max(1, new.tasks_that_fit(spec, missing))
-                full_instances = missing // each // _PIECES
+                # Most of a long backlog is covered in chunks, the rest instance by instance.
+                tasks_per_instance = max(1, new_bin.tasks_that_fit(spec, missing))
+                full_instances = missing // tasks_per_instance // _BACKLOG_CHUNKS
                 wanted[best.offer] += full_instances
-                missing -= full_instances * each
+                missing -= full_instances * tasks_per_instance
             wanted[best.offer] += 1
-            missing -= pack(spec, missing, [new], zones=zones)
-            if new.cpus + EPSILON >= least_cpus:
-                new_bins.append(new)
+            missing -= pack(spec, missing, [new_bin], zones=zones)
+            if new_bin.cpus + EPSILON >= min_task_cpus:
+                new_bins.append(new_bin)
     return [
-        ScaleOutRequest(*offer, min(_MOST_INSTANCES_PER_REQUEST, number))
+        ScaleOutRequest(*offer, min(_MAX_INSTANCES_PER_REQUEST, number))
         for offer, number in wanted.items()
     ]
 
@@ -87,14 +85,14 @@
     shortages: Sequence[Shortage],
     instances: Counter[Offer],
 ) -> PricedOffer | None:
-    """The offer with the lowest price for each core that would be used.
+    """Return the offer with the lowest cost per used core, or None if no offer is suitable.
 
     Args:
-        cluster_view: says which types there are.
-        refused: the offers that are not asked for.
-        count: how many tasks of the first shortage the instance is for.
-        shortages: the first is the one to be met; the others may use what it leaves.
-        instances: how many there are of each offer, with those asked for.
+        cluster_view: provides the machine types.
+        refused: the offers not to request.
+        count: the number of tasks of the first shortage to cover.
+        shortages: the shortage to cover, then those that may use the remaining capacity.
+        instances: the number of existing and requested instances of each offer.
     """
     first = shortages[0]
     avoids_gpus = cluster_view.avoids_gpus(first.spec)
@@ -114,7 +112,7 @@
 
 
 def _offers(machine_type: MachineType, shortage: Shortage) -> Iterator[tuple[Offer, float]]:
-    """The offers of a type that may meet a shortage, each with its price an hour."""
+    """Iterate over the offers of a type that may cover a shortage, with their hourly prices."""
     spec, zones = shortage.spec, shortage.zones
     markets = [True] * spec.spot + [False] * (shortage.ordinary_allowed or not spec.spot)
     for spot in markets:
@@ -130,19 +128,19 @@
 
 
 def used_cores(machine_type: MachineType, count: int, shortages: Sequence[Shortage]) -> float:
-    """How many cores of a new machine would be used.
+    """Return the number of cores of a new machine that would be used.
 
-    By `count` tasks of the first shortage, and then by those of the others.
+    The machine is filled with `count` tasks of the first shortage, then with those of the others.
     """
-    # Services stay for long and the rest goes: a machine is filled with one of the two.
+    # Services run indefinitely and other work ends, so a machine takes only one of the two.
     for_services = shortages[0].spec.kind == SERVICE
     cpus, memory_gb, used = machine_type.cpus, machine_type.memory_gb, 0.0
     for position, shortage in enumerate(shortages):
         spec = shortage.spec
         if (spec.kind == SERVICE) != for_services:
             continue
-        most = count if position == 0 else shortage.tasks
-        number = min(most, int((cpus + EPSILON) / spec.cpus))
+        max_tasks = count if position == 0 else shortage.tasks
+        number = min(max_tasks, int((cpus + EPSILON) / spec.cpus))
         if spec.memory_gb > 0:
             number = min(number, int((memory_gb + EPSILON) / spec.memory_gb))
         cpus -= number * spec.cpus
--- a/src/sandladder/autoscaling/scaling_inputs.py
+++ b/src/sandladder/autoscaling/scaling_inputs.py
@@ -1,4 +1,4 @@
-"""What one round of decisions on scaling rests on."""
+"""The inputs of one round of scaling decisions."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
@@ -8,20 +8,20 @@
 from sandladder.config import Settings
 from sandladder.scheduling import Bin, ClusterView
 
-# Work without any objective may wait for so many worker leases.
+# Allowed delay of work without an objective, in worker leases.
 _DEFAULT_ALLOWANCE_LEASES = 10
 
 
 class StartObjectives(NamedTuple):
-    """The objectives that say how late the tasks of a class may start; all times in seconds."""
+    """The objectives that determine how late a class's tasks may start; times in seconds."""
 
-    waits: dict[str, float]  # by class, within how long its tasks should start
-    finishes: dict[str, list[float]]  # by class, within how long its jobs should be done
-    default_s: float  # for work without an objective
+    start_within_s: dict[str, float]  # for the tasks of a class
+    finish_within_s: dict[str, list[float]]  # for the jobs of a class
+    default_s: float  # the allowed delay of work without an objective
 
     @staticmethod
-    def of(settings: Settings) -> "StartObjectives":
-        """The objectives of the platform's settings."""
+    def from_settings(settings: Settings) -> "StartObjectives":
+        """Return the objectives in the platform's settings."""
         lease_s = settings.platform.deployment.workers.lease_s
         return StartObjectives(
             settings.start_objectives_s,
@@ -32,13 +32,13 @@
 
 @dataclass(frozen=True)
 class ScalingInputs:
-    """What one round of decisions rests on."""
+    """The inputs of one round of scaling decisions."""
 
     cluster_view: ClusterView
-    provisioned: ProvisionedCapacity  # its bins are filled as capacity is given out
+    provisioned: ProvisionedCapacity  # its bins are filled as capacity is assigned
     refused: RefusedOffers
     objectives: StartObjectives
-    wall: float  # the time of day, in seconds
+    wall_clock_s: float  # the time of day, in seconds
 
     @property
     def lease_s(self) -> float:
@@ -47,5 +47,5 @@
 
     @property
     def bins(self) -> list[Bin]:
-        """The machines, with what is not given out yet."""
+        """The machines' unassigned capacity."""
         return self.provisioned.bins
--- a/src/sandladder/autoscaling/unresponsive.py
+++ b/src/sandladder/autoscaling/unresponsive.py
@@ -1,4 +1,4 @@
-"""Instances that send no heartbeats any more, and those that never came up."""
+"""Detection of instances that stopped sending heartbeats and of overdue boots."""
 
 from collections import Counter
 from collections.abc import Mapping
@@ -8,31 +8,30 @@
 from sandladder.model import ListedMachine, MachineType
 from sandladder.scheduling import ClusterView
 
-# Where more than this share of a zone's machines is unresponsive, it is the way to them.
-_UNRESPONSIVE_ZONE_SHARE = 0.5
-# A boot that takes so many times the usual will hardly end.
-_HOPELESS_BOOT = 4
-# The usual boot of a type that is not known, in seconds.
-_UNKNOWN_BOOT_S = 60.0
+# A larger share of unresponsive machines in a zone indicates a network partition.
+_MAX_UNRESPONSIVE_ZONE_SHARE = 0.5
+# A boot is overdue after this multiple of the type's boot time.
+_OVERDUE_BOOT_FACTOR = 4
+# Boot time of an unknown type.
+_DEFAULT_BOOT_S = 60.0
 
 
 def unresponsive_instances(
-    cluster_view: ClusterView, booted: BootedMachines, wall: float
+    cluster_view: ClusterView, booted: BootedMachines, wall_clock_s: float
 ) -> list[str]:
-    """Instances that came up and from which no controller receives heartbeats any more.
+    """Return the booted instances from which no controller receives heartbeats any more.
 
-    Returning one to the cloud proves that what ran there has ended.
+    Returning such an instance to the cloud proves that its tasks have ended.
 
-    Only when few are unresponsive: if many are, it is rather this controller that is cut off, or
-    their zone, which works on inside.  Seen in a measured day: half of the instances were returned
-    with all that ran there.  A controller whose machine inventory is late may still receive
-    heartbeats from some of these, so each is asked directly before anything is done (see
-    `InstanceDrainer`).
+    An instance is included only if few in its zone are unresponsive: many indicate that this
+    controller or the zone is partitioned, and returning them would stop running tasks.  Another
+    controller whose inventory arrives late may still receive heartbeats from an instance, so
+    `InstanceDrainer` probes each one before draining it.
 
     Args:
-        cluster_view: when each machine was last observed.
-        booted: the machines that have come up.
-        wall: the time of day, in seconds.
+        cluster_view: provides the last observation of each machine.
+        booted: the machines that have booted.
+        wall_clock_s: the time of day, in seconds.
     """
     limit_s = (
         cluster_view.settings.operator.silent_leases
@@ -50,18 +49,18 @@
         record = cluster_view.cache.instances.get(machine)
         if machine in responsive or record is None or record.state == GONE:
             continue
-        if wall - record.since > limit_s:
+        if wall_clock_s - record.since > limit_s:
             suspects.setdefault(record.zone, []).append(machine)
-    found = []
+    unresponsive = []
     for zone, machines in suspects.items():
         in_zone = responsive_in_zone[zone] + len(machines)
-        if len(machines) <= max(1, _UNRESPONSIVE_ZONE_SHARE * in_zone):
-            found += machines
-    return found
+        if len(machines) <= max(1, _MAX_UNRESPONSIVE_ZONE_SHARE * in_zone):
+            unresponsive += machines
+    return unresponsive
 
 
 def boot_is_overdue(machine: ListedMachine, types: Mapping[str, MachineType]) -> bool:
-    """Whether a booting machine has taken so long that it will hardly come up."""
+    """Return whether a machine is booting for so long that the boot is considered failed."""
     machine_type = types.get(machine.type)
-    boot_s = _UNKNOWN_BOOT_S if machine_type is None else machine_type.boot_s
-    return machine.state == LISTED_BOOTING and machine.age_s > _HOPELESS_BOOT * boot_s
+    boot_s = _DEFAULT_BOOT_S if machine_type is None else machine_type.boot_s
+    return machine.state == LISTED_BOOTING and machine.age_s > _OVERDUE_BOOT_FACTOR * boot_s
--- a/src/sandladder/autoscaling/utilization.py
+++ b/src/sandladder/autoscaling/utilization.py
@@ -1,4 +1,4 @@
-"""What the instances are and what uses them, for the log."""
+"""Summary of the instances' utilization for the log."""
 
 from collections import Counter
 
@@ -8,7 +8,7 @@
 
 
 def describe_utilization(cluster_view: ClusterView, booted: BootedMachines) -> str:
-    """How many cores there are, by market, and what uses them."""
+    """Return a summary of the cores by market and use."""
     types = cluster_view.cache.machine_types
     cores: Counter[str] = Counter()
     for machine in cluster_view.machines():
--- a/src/sandladder/autoscaling/waiting_work.py
+++ b/src/sandladder/autoscaling/waiting_work.py
@@ -1,4 +1,4 @@
-"""What new instances the waiting jobs are worth."""
+"""The capacity shortages of waiting jobs that justify new instances."""
 
 import math
 from typing import NamedTuple
@@ -11,30 +11,30 @@
 from sandladder.model import headroom as quota_headroom
 from sandladder.scheduling import Backlog, Shortage, ZoneQuota, pack, placement_requirements
 
-# The share of the time that work may wait, past which spot instances are asked for.
-_PRESSING_SHARE = 0.1
-# How much longer than its estimate a task is expected to run.
+# Spot instances are requested when the expected delay exceeds this share of the allowed delay.
+_EARLY_REQUEST_SHARE = 0.1
+# Factor from a task's estimated to its assumed run time.
 _ESTIMATE_MARGIN = 1.3
 
 
 class WaitingWork(NamedTuple):
-    """What the waiting jobs lack, the most urgent first, and how many cores they ask for."""
+    """The shortages of the waiting jobs, the most urgent first, and their demand for cores."""
 
     shortages: list[Shortage]
     demand: CoreDemand
 
 
 class _WaitingJob(NamedTuple):
-    """A job's waiting tasks that its team's limit lets start."""
+    """The waiting tasks of a job that its team's limit allows to start."""
 
     job: Job
     tasks: int
     can_wait_for_boot: bool
-    zones: ZoneQuota | None  # how many each zone may take, if not any zone will do
+    zones: ZoneQuota | None  # None if any zone is allowed
 
 
 def waiting_work(inputs: ScalingInputs) -> WaitingWork:
-    """Give out the free capacity to the waiting jobs, and collect what they lack."""
+    """Assign the free capacity to the waiting jobs and return their shortages and demand."""
     cluster_view = inputs.cluster_view
     cache = cluster_view.cache
     ready = cache.dependency_index.ready
@@ -45,27 +45,27 @@
     usage_by_team = dict(cache.usage)
     demand, backlog = CoreDemand(), Backlog()
     shortages: list[Shortage] = []
-    # Likenesses of tasks that found no capacity: it only gets less.  Seen in a measured day: with
-    # two hundred jobs waiting, each was tried on each of six hundred machines every second.
+    # Requirements for which no capacity is free.  Capacity only shrinks here, so trying each
+    # waiting job on each machine again would waste processor time.
     exhausted: set[tuple[object, ...]] = set()
     for job in jobs:
         spec = job.spec
         waiting = _startable(inputs, job, usage_by_team)
         if spec.kind != SERVICE:
             demand.add(waiting.tasks * spec.cpus, waiting.can_wait_for_boot)
-        missing = _place(inputs, waiting, exhausted)
+        missing = _pack_waiting(inputs, waiting, exhausted)
         backlog.add(spec, waiting.tasks, spec.estimate_s or inputs.lease_s)
         if missing:
-            shortages += _worthwhile_shortages(inputs, waiting, missing, backlog)
+            shortages += _job_shortages(inputs, waiting, missing, backlog)
     return WaitingWork(shortages, demand)
 
 
 def _startable(inputs: ScalingInputs, job: Job, usage_by_team: dict[str, TeamUsage]) -> _WaitingJob:
-    """The waiting tasks that the team's limit lets start; adds them to the team's usage."""
+    """Return the tasks that the team's limit allows to start, and add them to its usage."""
     cluster_view, spec = inputs.cluster_view, job.spec
     usage = usage_by_team.get(spec.team, TeamUsage())
-    left = quota_headroom(cluster_view.team_limits.get(spec.team), usage)
-    count = left.tasks_within(spec, job.waiting)
+    quota_left = quota_headroom(cluster_view.team_limits.get(spec.team), usage)
+    count = quota_left.tasks_within(spec, job.waiting)
     usage_by_team[spec.team] = usage.plus(spec, count)
     zones = ZoneQuota.of(job)
     if spec.one_zone and zones is None and count:
@@ -73,73 +73,78 @@
     return _WaitingJob(job, count, cluster_view.can_wait_for_boot(job), zones)
 
 
-def _place(inputs: ScalingInputs, waiting: _WaitingJob, exhausted: set[tuple[object, ...]]) -> int:
-    """Fill the bins with waiting tasks; how many do not fit.
+def _pack_waiting(
+    inputs: ScalingInputs, waiting: _WaitingJob, exhausted: set[tuple[object, ...]]
+) -> int:
+    """Pack waiting tasks into the bins and return the number that do not fit.
 
-    `exhausted`: the likenesses for which nothing is free; what finds nothing here is added.
+    `exhausted` contains the requirements for which no capacity is free, and is updated.
     """
     spec, count, zones = waiting.job.spec, waiting.tasks, waiting.zones
-    like = placement_requirements(spec, waiting.can_wait_for_boot)
-    if like in exhausted:
+    requirements = placement_requirements(spec, waiting.can_wait_for_boot)
+    if requirements in exhausted:
         return count
     keep_gpus = inputs.cluster_view.avoids_gpus(spec)
     missing = count - pack(spec, count, inputs.bins, waiting.can_wait_for_boot, zones, keep_gpus)
     if missing and zones is None:
-        exhausted.add(like)
+        exhausted.add(requirements)
     return missing
 
 
-def _worthwhile_shortages(
+def _job_shortages(
     inputs: ScalingInputs, waiting: _WaitingJob, missing: int, backlog: Backlog
 ) -> list[Shortage]:
-    """What to ask for on behalf of waiting tasks of a job, behind a backlog.
+    """Return the shortages to request instances for, given the backlog ahead of the job.
 
-    An instance asked for now is of use only after its boot; until then, or until the job must
-    start, the machines that are there work off the backlog.  Only what they leave is worth an
-    on-demand instance; spot instances are asked for early.
+    A new instance is usable only after its boot.  Until then, or until the job must start, the
+    provisioned machines process the backlog.  Only the remaining work justifies on-demand
+    instances; spot instances are requested earlier.
     """
     cluster_view, job, zones = inputs.cluster_view, waiting.job, waiting.zones
     spec = job.spec
     priority = cluster_view.scheduling_priority(job).priority
     if spec.kind == SERVICE or priority >= PRODUCTION:
         return [Shortage(spec, True, missing, zones)]
-    age_s = inputs.wall - cluster_view.waiting_since(job)
+    age_s = inputs.wall_clock_s - cluster_view.waiting_since(job)
     boot_s, allowance_s = cluster_view.boot_s(spec), _allowance_s(inputs, job, age_s)
-    # Work that needs GPUs waits for those alone, whatever cores there are.
+    # GPUs are the limiting resource of work that needs them, regardless of free cores.
     if spec.gpus > 0:
-        work, need, provisioned = backlog.gpu_s, spec.gpus, inputs.provisioned.gpus
+        work, need_per_task, provisioned = backlog.gpu_s, spec.gpus, inputs.provisioned.gpus
     else:
-        work, need, provisioned = backlog.core_s, spec.cpus, inputs.provisioned.cores
+        work, need_per_task, provisioned = backlog.core_s, spec.cpus, inputs.provisioned.cores
     capacity = provisioned.spot if spec.spot else 0.0
     if not waiting.can_wait_for_boot:
         capacity += provisioned.on_demand
     horizon_s = max(boot_s, allowance_s - age_s - boot_s)
-    left = work - capacity * horizon_s
+    remaining_work = work - capacity * horizon_s
     shortages = []
-    if left > 0:
+    if remaining_work > 0:
         span_s = max(horizon_s - boot_s, spec.estimate_s or inputs.lease_s)
-        worth_any = min(missing, math.ceil(left / span_s / need))
-        shortages.append(Shortage(spec, True, worth_any, zones))
-        missing -= worth_any
-    eta_s = age_s + work / max(capacity, need)
-    early = priority >= HIGH or eta_s > _PRESSING_SHARE * allowance_s
+        on_demand_tasks = min(missing, math.ceil(remaining_work / span_s / need_per_task))
+        shortages.append(Shortage(spec, True, on_demand_tasks, zones))
+        missing -= on_demand_tasks
+    eta_s = age_s + work / max(capacity, need_per_task)
+    early = priority >= HIGH or eta_s > _EARLY_REQUEST_SHARE * allowance_s
     if spec.spot and early and missing:
         shortages.append(Shortage(spec, False, missing, zones))
     return shortages
 
 
 def _allowance_s(inputs: ScalingInputs, job: Job, age_s: float) -> float:
-    """How late the last task of a job may start, from when its times count, in seconds.
+    """Return the allowed delay until the start of a job's last task, in seconds.
 
-    An objective that no instance asked for now could meet any more presses for nothing: then
-    the next one counts.
+    The delay counts from the time since which the job has been waiting.  An objective that a new
+    instance can no longer meet is skipped in favour of the next one.
     """
     spec, objectives = job.spec, inputs.objectives
     cluster_view = inputs.cluster_view
     earliest_s = age_s + cluster_view.boot_s(spec)
     run_s = _ESTIMATE_MARGIN * spec.estimate_s
-    limits = [objectives.waits.get(spec.job_class, math.inf)]
-    limits += [max(0.0, within - run_s) for within in objectives.finishes.get(spec.job_class, ())]
+    limits = [objectives.start_within_s.get(spec.job_class, math.inf)]
+    limits += [
+        max(0.0, within_s - run_s)
+        for within_s in objectives.finish_within_s.get(spec.job_class, ())
+    ]
     due_s = cluster_view.scheduling_priority(job).due - cluster_view.waiting_since(job)
     if due_s < math.inf:
         limits.append(max(0.0, due_s - run_s))
@@ -150,7 +155,7 @@
 
 
 def displaced_replicas(inputs: ScalingInputs) -> list[Shortage]:
-    """Replicas of services on draining instances that find no free capacity elsewhere."""
+    """Return the shortages of service replicas on draining instances that fit nowhere else."""
     cluster_view = inputs.cluster_view
     shortages = []
     for machine, record in cluster_view.cache.instances.items():
--- a/tests/test_autoscaler.py
+++ b/tests/test_autoscaler.py
@@ -1,4 +1,4 @@
-"""The autoscaler's parts: its lease, the records of instances, launches and what responds."""
+"""The autoscaler's components: lease, instance records, launches, unresponsive instances, demand."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import replace
@@ -48,10 +48,10 @@
 
 
 class ImmediateCommitter:
-    """Commits each change at once, or refuses all."""
+    """Commits each change after a short delay, or rejects it."""
 
     def __init__(self, cache: StateCache) -> None:
-        self.cache, self.refuses, self.names = cache, False, []
+        self.cache, self.rejects, self.names = cache, False, []
 
     def add(self, change: PendingChange) -> "ImmediateCommitter":
         self.change = change
@@ -59,8 +59,8 @@
 
     async def wait(self) -> None:
         await anyio.sleep(0.1)
-        if self.refuses:
-            raise PreconditionFailedError("refused")
+        if self.rejects:
+            raise PreconditionFailedError("rejected")
         transaction = Transaction(self.cache)
         if self.change.apply(transaction):
             commit(self.cache, transaction)
@@ -68,7 +68,7 @@
 
 
 class GrantingStore:
-    """Grants and renews leases until they are to have expired."""
+    """Grants and renews leases, or reports them as expired."""
 
     def __init__(self) -> None:
         self.granted, self.renewed, self.expired = 0, 0, False
@@ -84,7 +84,7 @@
 
 
 class LeaseScene:
-    """An autoscaler lease of which each collaborator can be looked at."""
+    """An autoscaler lease with its collaborators."""
 
     def __init__(self, status: ControllerStatus = STATUS) -> None:
         self.cache, self.store, self.acquisitions = StateCache(), GrantingStore(), 0
@@ -102,62 +102,62 @@
         self.acquisitions += 1
 
     def write(self, node: str) -> None:
-        """Let a process of some controller write the autoscaler's key."""
+        """Write the autoscaler's key as another process would."""
         version = self.cache.revision + 1
         self.cache.apply(version, [(AUTOSCALER_KEY, node, version)])
 
 
-def test_a_free_lease_is_acquired_once_and_renewed_in_time() -> None:
+def test_a_free_lease_is_acquired_once_and_renewed_before_expiry() -> None:
     async def main() -> None:
         setup = LeaseScene()
-        assert await setup.lease.ensure() and setup.cache.autoscaler_node == NODE
-        assert await setup.lease.ensure()
+        assert await setup.lease.ensure_held() and setup.cache.autoscaler_node == NODE
+        assert await setup.lease.ensure_held()
         assert (setup.store.granted, setup.store.renewed, setup.acquisitions) == (1, 0, 1)
         for _ in range(20):
             await anyio.sleep(TTL_S / 4)
-            assert await setup.lease.ensure()
+            assert await setup.lease.ensure_held()
         assert setup.store.granted == 1 and setup.store.renewed >= 5
 
     in_virtual_time(main)
 
 
-def test_a_lease_that_was_not_renewed_in_time_is_not_trusted() -> None:
+def test_an_expired_lease_is_given_up_and_acquired_again() -> None:
     async def main() -> None:
         setup = LeaseScene()
-        assert await setup.lease.ensure()
+        assert await setup.lease.ensure_held()
         await anyio.sleep(2 * TTL_S)
         setup.store.expired = True
-        assert not await setup.lease.ensure() and not setup.lease.acquired
-        assert await setup.lease.ensure() and setup.store.granted == 2
+        assert not await setup.lease.ensure_held() and not setup.lease.acquired
+        assert await setup.lease.ensure_held() and setup.store.granted == 2
 
     in_virtual_time(main)
 
 
-def test_a_lease_of_another_controller_is_left_alone() -> None:
+def test_a_lease_held_by_another_controller_is_not_acquired() -> None:
     async def main() -> None:
         setup = LeaseScene()
         setup.write("node-1")
-        assert not await setup.lease.ensure()
+        assert not await setup.lease.ensure_held()
         assert setup.store.granted == 0 and setup.cache.autoscaler_node == "node-1"
 
     in_virtual_time(main)
 
 
-def test_a_key_left_by_an_earlier_process_of_the_controller_is_taken_over() -> None:
+def test_a_key_of_an_earlier_process_of_the_same_controller_is_acquired() -> None:
     async def main() -> None:
         setup = LeaseScene()
         setup.write(NODE)
-        assert await setup.lease.ensure()
+        assert await setup.lease.ensure_held()
 
     in_virtual_time(main)
 
 
-def test_a_key_that_another_process_wrote_ends_the_lease() -> None:
+def test_the_lease_is_given_up_when_another_process_writes_the_key() -> None:
     async def main() -> None:
         setup = LeaseScene()
-        assert await setup.lease.ensure()
+        assert await setup.lease.ensure_held()
         setup.write(NODE)
-        assert not await setup.lease.ensure() and not setup.lease.acquired
+        assert not await setup.lease.ensure_held() and not setup.lease.acquired
 
     in_virtual_time(main)
 
@@ -165,20 +165,20 @@
 def test_a_controller_without_its_own_lease_does_not_become_the_autoscaler() -> None:
     async def main() -> None:
         setup = LeaseScene(replace(STATUS, lease_alive=lambda: False))
-        assert not await setup.lease.ensure() and setup.store.granted == 0
+        assert not await setup.lease.ensure_held() and setup.store.granted == 0
 
     in_virtual_time(main)
 
 
-def test_a_controller_that_no_agent_reaches_gives_the_lease_up() -> None:
+def test_an_isolated_controller_gives_up_the_lease() -> None:
     isolated = False
 
     async def main() -> None:
         nonlocal isolated
         setup = LeaseScene(replace(STATUS, isolated=lambda now: isolated))
-        assert await setup.lease.ensure()
+        assert await setup.lease.ensure_held()
         isolated = True
-        assert not await setup.lease.ensure() and not setup.lease.acquired
+        assert not await setup.lease.ensure_held() and not setup.lease.acquired
 
     in_virtual_time(main)
 
@@ -187,27 +187,27 @@
     return Machine("small", "north", True, state, 0.0)
 
 
-def writer(cache: StateCache, committer: ImmediateCommitter) -> InstanceRecordWriter:
+def record_writer(cache: StateCache, committer: ImmediateCommitter) -> InstanceRecordWriter:
     state = settings(0, 1).platform.deployment.state
     limits = StoreLimits(state, cache)
     return InstanceRecordWriter(cache, committer, limits, state.value_bytes, interval_s=4.0)
 
 
-def test_records_are_written_together_and_proofs_of_loss_at_once() -> None:
+def test_record_writes_are_batched_but_proof_of_lost_tasks_is_written_at_once() -> None:
     async def main() -> None:
         cache = StateCache()
         committer = ImmediateCommitter(cache)
-        records = writer(cache, committer)
-        records.note({"vm-000001": record(ACTIVE), "vm-000002": record(ACTIVE)})
+        records = record_writer(cache, committer)
+        records.queue({"vm-000001": record(ACTIVE), "vm-000002": record(ACTIVE)})
         await records.flush()
         assert set(cache.instances) == {"vm-000001", "vm-000002"} and not records.unwritten
-        records.note({"vm-000003": record(ACTIVE)})
+        records.queue({"vm-000003": record(ACTIVE)})
         await records.flush()
         assert "vm-000003" not in cache.instances
         assert records.record("vm-000003") == record(ACTIVE)
-        # A task is recorded on the first: that its instance is gone proves that it is lost.
+        # With an attempt recorded on the instance, its GONE state proves that a task is lost.
         cache.attempts_by_machine["vm-000001"] = {("job-000001", 0): None}
-        records.note({"vm-000001": record(GONE)})
+        records.queue({"vm-000001": record(GONE)})
         await records.flush()
         assert cache.instances["vm-000001"].state == GONE and "vm-000003" in cache.instances
         assert len(committer.names) == 2
@@ -215,19 +215,19 @@
     in_virtual_time(main)
 
 
-def test_changes_that_were_refused_are_kept_and_newer_ones_win() -> None:
+def test_rejected_record_changes_stay_queued_and_newer_ones_take_precedence() -> None:
     async def main() -> None:
         cache = StateCache()
         committer = ImmediateCommitter(cache)
-        records = writer(cache, committer)
-        records.note({"vm-000001": record(ACTIVE), "vm-000002": record(ACTIVE)})
-        committer.refuses = True
+        records = record_writer(cache, committer)
+        records.queue({"vm-000001": record(ACTIVE), "vm-000002": record(ACTIVE)})
+        committer.rejects = True
 
-        async def note_meanwhile() -> None:
-            records.note({"vm-000001": record(DRAINING)})
+        async def queue_newer_change() -> None:
+            records.queue({"vm-000001": record(DRAINING)})
 
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(note_meanwhile)
+            tasks.start_soon(queue_newer_change)
             with pytest.raises(PreconditionFailedError):
                 await records.flush()
         assert records.unwritten == {
@@ -239,7 +239,7 @@
 
 
 class ScriptedCloud:
-    """Answers requests for instances from a list of outcomes."""
+    """Responds to requests for instances with scripted outcomes."""
 
     def __init__(self, *outcomes: Any) -> None:
         self.outcomes, self.names = list(outcomes), []
@@ -253,20 +253,20 @@
 
 
 class LaunchScene:
-    """A launcher with what it notes; the answers come from a script."""
+    """A launcher with a scripted cloud, the queued records and the recorded refusals."""
 
     def __init__(self, *outcomes: Any) -> None:
         cluster_view, _, self.cache, _ = scene()
         self.cloud, self.refused = ScriptedCloud(*outcomes), []
         self.policy = ScalingPolicy(cluster_view)
-        self.policy.note_refused = self.refused.append  # type: ignore[method-assign]
-        self.records = writer(self.cache, ImmediateCommitter(self.cache))
+        self.policy.record_refusal = self.refused.append  # type: ignore[method-assign]
+        self.records = record_writer(self.cache, ImmediateCommitter(self.cache))
         self.launcher = InstanceLauncher(
-            NODE, self.cloud, self.policy, self.records, STATUS, retry_pause_s=1.0
+            NODE, self.cloud, self.policy, self.records, STATUS, retry_interval_s=1.0
         )
 
 
-def test_a_request_without_an_answer_is_sent_again_under_its_name() -> None:
+def test_a_failed_scale_out_request_is_retried_under_the_same_name() -> None:
     async def main() -> None:
         setup = LaunchScene(CloudError("lost"), CloudError("lost"), ["vm-000001", "vm-000002"], [])
         await setup.launcher.launch(REQUEST)
@@ -279,7 +279,7 @@
     in_virtual_time(main)
 
 
-def test_a_request_is_given_up_after_three_attempts() -> None:
+def test_a_scale_out_request_is_abandoned_after_three_attempts() -> None:
     async def main() -> None:
         setup = LaunchScene(*[CloudError("lost")] * 3)
         await setup.launcher.launch(REQUEST)
@@ -290,7 +290,7 @@
 
 
 @pytest.mark.parametrize("answer", [NoCapacityError("none"), ["vm-000001"]])
-def test_an_offer_without_enough_capacity_counts_as_refused(answer: Any) -> None:
+def test_an_offer_with_too_little_capacity_is_recorded_as_refused(answer: Any) -> None:
     async def main() -> None:
         setup = LaunchScene(answer)
         await setup.launcher.launch(REQUEST)
@@ -300,8 +300,8 @@
     in_virtual_time(main)
 
 
-def zone_of(responsive: int, unresponsive: int) -> tuple[ClusterView, BootedMachines]:
-    """Instances in one zone, with heartbeats of late or without."""
+def single_zone_scene(responsive: int, unresponsive: int) -> tuple[ClusterView, BootedMachines]:
+    """Return a view of instances in one zone, of which some sent recent heartbeats."""
     cluster_view, _, cache, reconciler = scene()
     booted = BootedMachines()
     names = [f"vm-{number:06d}" for number in range(10, 10 + responsive + unresponsive)]
@@ -317,25 +317,26 @@
 
 
 @pytest.mark.parametrize(
-    ("responsive", "unresponsive", "found"), [(3, 1, 1), (2, 2, 2), (1, 3, 0), (0, 1, 1), (0, 2, 0)]
+    ("responsive", "unresponsive", "expected"),
+    [(3, 1, 1), (2, 2, 2), (1, 3, 0), (0, 1, 1), (0, 2, 0)],
 )
-def test_unresponsive_instances_are_believed_gone_unless_most_of_their_zone_is(
-    responsive: int, unresponsive: int, found: int
+def test_instances_are_reported_unresponsive_unless_most_of_their_zone_is(
+    responsive: int, unresponsive: int, expected: int
 ) -> None:
-    """Seen in a measured day: half of the instances were returned with all that ran there."""
-    cluster_view, booted = zone_of(responsive, unresponsive)
-    instances = unresponsive_instances(cluster_view, booted, wall=100.0)
-    assert instances == [f"vm-{10 + responsive + number:06d}" for number in range(found)]
+    """Guards against returning the running instances of a partitioned zone."""
+    cluster_view, booted = single_zone_scene(responsive, unresponsive)
+    instances = unresponsive_instances(cluster_view, booted, wall_clock_s=100.0)
+    assert instances == [f"vm-{10 + responsive + number:06d}" for number in range(expected)]
 
 
-def test_instances_that_never_came_up_or_are_gone_are_not_unresponsive() -> None:
-    cluster_view, booted = zone_of(3, 1)
+def test_instances_that_never_booted_or_are_gone_are_not_unresponsive() -> None:
+    cluster_view, booted = single_zone_scene(3, 1)
     cluster_view.cache.instances["vm-000013"] = record(GONE)
     cluster_view.cache.instances["vm-000014"] = record(ACTIVE)
-    assert unresponsive_instances(cluster_view, booted, wall=100.0) == []
+    assert unresponsive_instances(cluster_view, booted, wall_clock_s=100.0) == []
 
 
-def test_a_boot_is_overdue_after_four_times_the_usual() -> None:
+def test_a_boot_is_overdue_after_four_times_the_boot_time() -> None:
     _, _, cache, _ = scene()  # both types boot in 9 seconds
     booting = ListedMachine("vm-1", "small", "north", True, "booting", 36.0, "vm-1:1")
     assert not boot_is_overdue(booting, cache.machine_types)
@@ -345,15 +346,15 @@
     assert boot_is_overdue(booting._replace(age_s=240.1, type="unknown"), cache.machine_types)
 
 
-def test_an_offer_is_refused_for_as_long_as_was_said() -> None:
+def test_an_offer_counts_as_refused_until_the_retry_delay_has_passed() -> None:
     refused = RefusedOffers(retry_after_s=10.0)
-    refused.note(Offer("small", "north", True), now=5.0)
+    refused.add(Offer("small", "north", True), now=5.0)
     assert refused.is_refused(Offer("small", "north", True), now=14.9)
     assert not refused.is_refused(Offer("small", "north", True), now=15.0)
     assert not refused.is_refused(Offer("small", "north", False), now=14.9)
 
 
-def test_usual_demand_is_what_suffices_for_three_fifths_of_the_recent_samples() -> None:
+def test_usual_demand_is_the_sixty_percent_quantile_of_the_recent_samples() -> None:
     history = DemandHistory(span_s=100.0)
     assert history.usual_cores() == 0.0
     for second in range(10):
--- a/tests/test_autoscaling.py
+++ b/tests/test_autoscaling.py
@@ -1,4 +1,4 @@
-"""Scaling out: within the cloud's rate, once, and on the machine type that the work needs."""
+"""Scale-out: rate limits, no duplicate requests, and the choice of machine types and zones."""
 
 from collections import Counter
 from random import Random
@@ -30,7 +30,7 @@
 
 
 def observe_machine(cluster_view: ClusterView, name: str, type_name: str, zone: str) -> None:
-    """Have an on-demand machine send its first heartbeat."""
+    """Record the first heartbeat of an on-demand machine."""
     heartbeat = AgentHeartbeat(name, f"{name}:1", type_name, zone, False, 1, 1, 1, None, ())
     agent = cluster_view.reconciler.receive_heartbeat(
         heartbeat, cluster_view.now, direct=False
@@ -39,7 +39,7 @@
 
 
 def scene_with_gpus(machines: dict[str, str]):
-    """The scene with machines that have GPUs, by name and zone."""
+    """Return the scene with additional GPU machines, given as zones by name."""
     cluster_view, planner, cache, _ = scene()
     cluster_view.team_limits["red"] = TeamLimits("red")
     cache.machine_types["gpu"] = GPU_TYPE
@@ -49,15 +49,15 @@
 
 
 def requested_instances(cluster_view: ClusterView) -> dict[tuple[str, str], int]:
-    """How many instances are asked for, by type and zone."""
-    found: Counter[tuple[str, str]] = Counter()
+    """Return the number of requested instances by type and zone."""
+    requested: Counter[tuple[str, str]] = Counter()
     for request in ScalingPolicy(cluster_view).scale_out_requests(0.0):
-        found[request.type, request.zone] += request.number
-    return dict(found)
+        requested[request.type, request.zone] += request.number
+    return dict(requested)
 
 
-def test_one_request_per_offer_and_none_for_instances_still_to_be_written() -> None:
-    """Seen in a measured day: five requests of 50 for one offer at once, and all of them again."""
+def test_there_is_one_request_per_offer_and_none_for_unwritten_instances() -> None:
+    """Guards against duplicate requests for the same shortage."""
     cluster_view, _, cache, _ = scene()
     cluster_view.team_limits["red"] = TeamLimits("red")
     accept(cache, entries=2000, vcpus=4.0, ram_gb=1.0, rank="urgent")
@@ -78,37 +78,39 @@
     assert ScalingPolicy(cluster_view).scale_out_requests(0.0, unwritten) == []
 
 
-def test_work_without_gpus_leaves_the_machines_with_gpus_alone() -> None:
+def test_work_without_gpus_does_not_use_idle_gpu_machines() -> None:
     cluster_view, planner, cache = scene_with_gpus({"vm-8": "north", "vm-9": "south"})
     gang = accept(cache, entries=1, form="group", **GPU_TASK)
     small = accept(cache, number=2, entries=100, vcpus=1.0, ram_gb=1.0)
     placed = planner.plan([gang, small], {})
-    taken = next(i.placement.machine for i in placed if i.spec is gang.spec)
-    where = {
+    gang_machine = next(i.placement.machine for i in placed if i.spec is gang.spec)
+    small_machines = {
         pending_start.placement.machine
         for pending_start in placed
         if pending_start.spec is small.spec
     }
-    assert where == {"vm-1", "vm-2", taken}
-    # Nor is any asked for on its behalf, whatever else is refused.
+    assert small_machines == {"vm-1", "vm-2", gang_machine}
+    # No GPU instance is requested for such work either, even when other offers are refused.
     policy = ScalingPolicy(cluster_view)
     for request in policy.scale_out_requests(0.0):
-        policy.note_refused(request)
+        policy.record_refusal(request)
     assert not any(request.type == "gpu" for request in policy.scale_out_requests(0.0))
 
 
-def test_what_gpus_in_use_leave_of_their_machine_may_be_used() -> None:
+def test_work_without_gpus_may_use_the_rest_of_a_machine_whose_gpus_are_in_use() -> None:
     _, planner, cache = scene_with_gpus({"vm-8": "north"})
     gang = accept(cache, entries=1, form="group", **GPU_TASK)
     planner.plan([gang], {})
     small = accept(cache, number=2, entries=100, vcpus=1.0, ram_gb=1.0)
     placed = planner.plan([gang, small], {})
-    beside = [i for i in placed if i.spec is small.spec and i.placement.machine == "vm-8"]
-    assert len(beside) == 2
+    placed_beside_gang = [
+        i for i in placed if i.spec is small.spec and i.placement.machine == "vm-8"
+    ]
+    assert len(placed_beside_gang) == 2
 
 
-def test_work_that_has_waited_long_may_use_idle_machines_scene_with_gpus() -> None:
-    """No job is left waiting while a machine that fits has free capacity."""
+def test_work_that_has_waited_long_may_use_idle_gpu_machines() -> None:
+    """Guards against starvation of a job while a machine that fits it has free capacity."""
     cluster_view, planner, cache = scene_with_gpus({"vm-8": "north"})
     accept(cache, entries=1, form="group", **GPU_TASK | {"vcpus": 11.0, "breeds": ["small"]})
     small = accept(cache, number=2, entries=100, vcpus=1.0, ram_gb=1.0)
@@ -120,7 +122,7 @@
     assert [i for i in cluster_view.gate.pending.values() if i.placement.machine == "vm-8"]
 
 
-def test_without_gpu_work_every_machine_serves() -> None:
+def test_gpu_machines_are_used_while_no_work_needs_gpus() -> None:
     _, planner, cache = scene_with_gpus({"vm-8": "north"})
     small = accept(cache, entries=100, vcpus=1.0, ram_gb=1.0)
     assert "vm-8" in {
@@ -128,8 +130,8 @@
     }
 
 
-def test_instances_for_a_gang_bound_to_one_zone_are_asked_for_in_one_zone() -> None:
-    """Machines for two of its tasks in each of two zones are no capacity for a gang of four."""
+def test_instances_for_a_single_zone_gang_are_requested_in_one_zone() -> None:
+    """Guards against counting capacity for parts of a gang in two zones as capacity for all of it."""
     cluster_view, planner, cache = scene_with_gpus(
         {f"vm-{6 + n}": ("north", "south")[n % 2] for n in range(4)}
     )
@@ -144,19 +146,19 @@
         **GPU_TASK,
     )
     assert planner.plan([gang], {}) == []
-    found = requested_instances(cluster_view)
-    assert len(found) == 1 and list(found.values()) == [2]
-    # Where one zone's offers are refused, the other is filled.
+    requested = requested_instances(cluster_view)
+    assert len(requested) == 1 and list(requested.values()) == [2]
+    # When one zone's offers are refused, the instances are requested in the other zone.
     policy = ScalingPolicy(cluster_view)
     (first,) = policy.scale_out_requests(0.0)
-    policy.note_refused(first)
+    policy.record_refusal(first)
     (second,) = policy.scale_out_requests(0.0)
     assert second.zone != first.zone and second.number == 2
 
 
 @pytest.mark.parametrize("rps", [3.0, 8.0])
-def test_requests_to_the_cloud_keep_to_its_rate(rps: float) -> None:
-    """A stand-in that refuses above the rate, with bursts of two seconds' worth, never has to."""
+def test_requests_to_the_cloud_stay_within_its_rate_limit(rps: float) -> None:
+    """The fake cloud has a token bucket with a burst of two seconds and never rejects a request."""
     refused = 0
 
     class RateLimitedCloud:
@@ -190,7 +192,7 @@
     assert refused == 0
 
 
-def test_a_refusal_over_the_rate_slows_the_requests_down() -> None:
+def test_a_rate_limit_rejection_delays_further_requests() -> None:
     class RefusingCloud:
         async def request(self, method: str, target: str, body: bytes = b"", *, timeout: float):
             return Response(429)
@@ -208,14 +210,14 @@
     anyio.run(main, backend_options={"loop_factory": VirtualTimeEventLoop})
 
 
-def test_instances_for_a_long_backlog_are_chosen_in_few_pieces(monkeypatch) -> None:
-    """Seen in a measured day: hundreds of machines were chosen one by one in each round."""
-    chosen = 0
+def test_instances_for_a_long_backlog_are_chosen_in_few_chunks(monkeypatch) -> None:
+    """Guards against choosing hundreds of instances one by one in each round."""
+    choices = 0
     cheapest_offer = scale_out.cheapest_offer
 
     def counted(*args: Any) -> Any:
-        nonlocal chosen
-        chosen += 1
+        nonlocal choices
+        choices += 1
         return cheapest_offer(*args)
 
     monkeypatch.setattr(scale_out, "cheapest_offer", counted)
@@ -224,19 +226,19 @@
     accept(cache, entries=8000, vcpus=2.0, ram_gb=1.0, rank="urgent")
     requested = ScalingPolicy(cluster_view).scale_out_requests(0.0)
     assert sum(request.number for request in requested) >= 50
-    assert 0 < chosen <= 150
+    assert 0 < choices <= 150
 
 
-def test_machines_are_gone_through_once_for_each_likeness_of_tasks_that_do_not_fit(
+def test_machines_are_scanned_once_per_set_of_requirements_that_do_not_fit(
     monkeypatch,
 ) -> None:
-    """However many jobs wait, the machines are gone through for each likeness, not each job."""
-    looked: Counter[int] = Counter()
-    fill = bin_packing.pack
+    """Guards against a scan of all machines for each waiting job."""
+    scans: Counter[int] = Counter()
+    pack = bin_packing.pack
 
     def counted(spec, count, bins, *rest, **named):
-        looked[jobs] += bool(count) and len(bins) > 100
-        return fill(spec, count, bins, *rest, **named)
+        scans[jobs] += bool(count) and len(bins) > 100
+        return pack(spec, count, bins, *rest, **named)
 
     for module in (waiting_work, headroom, scale_out):
         monkeypatch.setattr(module, "pack", counted)
@@ -253,4 +255,4 @@
             commit(cache, transaction)
         requests = ScalingPolicy(cluster_view).scale_out_requests(0.0)
         assert sum(request.number for request in requests) > 0
-    assert 0 < looked[200] <= looked[20]
+    assert 0 < scans[200] <= scans[20]
