--- a/src/sandladder/autoscaling/cloud_client.py
+++ b/src/sandladder/autoscaling/cloud_client.py
@@ -7,7 +7,7 @@
 from sandladder.state import AdaptiveTokenBucket
 from sandladder.transport import HttpError, HttpRequester, Response
 
-_OK, _OVER_RATE_LIMIT, _UNAVAILABLE = 200, 429, 503
+_OK, _TOO_MANY_REQUESTS, _SERVICE_UNAVAILABLE = 200, 429, 503
 MAX_INSTANCES_PER_RETURN = 100
 
 
@@ -81,25 +81,25 @@
         machines: list[ListedMachine] = []
         after = ""
         while True:
-            answer = await self._request("GET", cloud_messages.machines_target(after))
-            page, more = cloud_messages.parse_machines(answer.body)
+            response = await self._request("GET", cloud_messages.machines_target(after))
+            page, has_more = cloud_messages.parse_machines(response.body)
             machines += page
-            if not more or not page:
+            if not has_more or not page:
                 return machines
             after = page[-1].id
 
     async def _request(self, method: str, target: str, body: bytes = b"") -> Response:
         self.rate_limit.spend(1)
         try:
-            answer = await self._client.request(method, target, body, timeout=self._timeout_s)
+            response = await self._client.request(method, target, body, timeout=self._timeout_s)
         except HttpError as error:
             raise CloudError(str(error)) from None
-        if answer.status == _OVER_RATE_LIMIT:
+        if response.status == _TOO_MANY_REQUESTS:
             self.rate_limit.on_rejected(1)
-            raise CloudError("cloud rate limit exceeded", answer.status)
+            raise CloudError("cloud rate limit exceeded", response.status)
         self.rate_limit.on_allowed()
-        if answer.status == _UNAVAILABLE and b"no capacity" in answer.body:
-            raise NoCapacityError("the cloud has no capacity for the offer", answer.status)
-        if answer.status != _OK:
-            raise CloudError(f"the cloud responded with status {answer.status}", answer.status)
-        return answer
+        if response.status == _SERVICE_UNAVAILABLE and b"no capacity" in response.body:
+            raise NoCapacityError("the cloud has no capacity for the offer", response.status)
+        if response.status != _OK:
+            raise CloudError(f"the cloud responded with status {response.status}", response.status)
+        return response
--- a/src/sandladder/autoscaling/headroom.py
+++ b/src/sandladder/autoscaling/headroom.py
@@ -4,7 +4,7 @@
 
 from sandladder.autoscaling.job_history import ClassHistory, JobHistory
 from sandladder.autoscaling.scaling_inputs import ScalingInputs
-from sandladder.autoscaling.zone_choice import single_zone
+from sandladder.autoscaling.zone_choice import single_zone_quota
 from sandladder.model import JobSpec
 from sandladder.scheduling import Shortage, ZoneQuota, pack
 
@@ -57,5 +57,5 @@
 def _zone_quota(inputs: ScalingInputs, spec: JobSpec, count: int) -> ZoneQuota | None:
     """Return the limit on headroom per zone, or None if any zone is allowed."""
     if spec.one_zone and count:
-        return single_zone(inputs, spec, count)
+        return single_zone_quota(inputs, spec, count)
     return ZoneQuota((count + 1) // 2, Counter()) if spec.spread else None
--- a/src/sandladder/autoscaling/instance_reconciler.py
+++ b/src/sandladder/autoscaling/instance_reconciler.py
@@ -99,7 +99,7 @@
                 created = wall_clock_s - max(0.0, item.age_s)
                 changes[item.id] = Machine(item.type, item.zone, item.spot, ACTIVE, created)
             elif record is not None and failed and record.state != GONE:
-                log.info("instance %s failed", item.id)
+                log.info("the cloud lists instance %s as failed", item.id)
                 changes[item.id] = record._replace(state=GONE, since=wall_clock_s)
         return changes
 
--- a/src/sandladder/autoscaling/scaling_inputs.py
+++ b/src/sandladder/autoscaling/scaling_inputs.py
@@ -9,7 +9,7 @@
 from sandladder.scheduling import Bin, ClusterView
 
 # Allowed delay of work without an objective, in worker leases.
-_DEFAULT_ALLOWANCE_LEASES = 10
+_DEFAULT_ALLOWED_DELAY_LEASES = 10
 
 
 class StartObjectives(NamedTuple):
@@ -17,7 +17,7 @@
 
     start_within_s: dict[str, float]  # for the tasks of a class
     finish_within_s: dict[str, list[float]]  # for the jobs of a class
-    default_s: float  # the allowed delay of work without an objective
+    default_delay_s: float  # allowed delay of work without an objective
 
     @staticmethod
     def from_settings(settings: Settings) -> "StartObjectives":
@@ -26,7 +26,7 @@
         return StartObjectives(
             settings.start_objectives_s,
             settings.completion_objectives_s,
-            _DEFAULT_ALLOWANCE_LEASES * lease_s,
+            _DEFAULT_ALLOWED_DELAY_LEASES * lease_s,
         )
 
 
--- a/src/sandladder/autoscaling/scaling_policy.py
+++ b/src/sandladder/autoscaling/scaling_policy.py
@@ -32,7 +32,7 @@
 from sandladder.autoscaling.scaling_inputs import ScalingInputs, StartObjectives
 from sandladder.autoscaling.unresponsive import unresponsive_instances
 from sandladder.autoscaling.utilization import describe_utilization
-from sandladder.autoscaling.waiting_work import displaced_replicas, waiting_work
+from sandladder.autoscaling.waiting_work import displaced_replica_shortages, waiting_work
 from sandladder.model import Machine
 from sandladder.scheduling import ClusterView, Shortage
 
@@ -87,7 +87,7 @@
         shortages = waiting.shortages + usual_demand_shortages(
             self._demand, provisioned.cores.total, self._jobs.latest_specs()
         )
-        shortages += displaced_replicas(inputs)
+        shortages += displaced_replica_shortages(inputs)
         _log_shortages(shortages)
         shortages += reserve_headroom(inputs, self._jobs)
         return choose_instances(cluster_view, self._refused, shortages)
--- a/src/sandladder/autoscaling/unresponsive.py
+++ b/src/sandladder/autoscaling/unresponsive.py
@@ -60,7 +60,7 @@
 
 
 def boot_is_overdue(machine: ListedMachine, types: Mapping[str, MachineType]) -> bool:
-    """Return whether a machine is booting for so long that the boot is considered failed."""
+    """Return whether a machine has been booting for so long that the boot counts as failed."""
     machine_type = types.get(machine.type)
     boot_s = _DEFAULT_BOOT_S if machine_type is None else machine_type.boot_s
     return machine.state == LISTED_BOOTING and machine.age_s > _OVERDUE_BOOT_FACTOR * boot_s
--- a/src/sandladder/autoscaling/waiting_work.py
+++ b/src/sandladder/autoscaling/waiting_work.py
@@ -6,7 +6,7 @@
 from sandladder.autoscaling.demand import CoreDemand
 from sandladder.autoscaling.instance_states import DRAINING
 from sandladder.autoscaling.scaling_inputs import ScalingInputs
-from sandladder.autoscaling.zone_choice import single_zone
+from sandladder.autoscaling.zone_choice import single_zone_quota
 from sandladder.model import HIGH, PRODUCTION, SERVICE, Job, TeamUsage
 from sandladder.model import headroom as quota_headroom
 from sandladder.scheduling import Backlog, Shortage, ZoneQuota, pack, placement_requirements
@@ -69,7 +69,7 @@
     usage_by_team[spec.team] = usage.plus(spec, count)
     zones = ZoneQuota.of(job)
     if spec.one_zone and zones is None and count:
-        zones = single_zone(inputs, spec, count)
+        zones = single_zone_quota(inputs, spec, count)
     return _WaitingJob(job, count, cluster_view.can_wait_for_boot(job), zones)
 
 
@@ -106,7 +106,7 @@
     if spec.kind == SERVICE or priority >= PRODUCTION:
         return [Shortage(spec, True, missing, zones)]
     age_s = inputs.wall_clock_s - cluster_view.waiting_since(job)
-    boot_s, allowance_s = cluster_view.boot_s(spec), _allowance_s(inputs, job, age_s)
+    boot_s, allowed_delay_s = cluster_view.boot_s(spec), _allowed_delay_s(inputs, job, age_s)
     # GPUs are the limiting resource of work that needs them, regardless of free cores.
     if spec.gpus > 0:
         work, need_per_task, provisioned = backlog.gpu_s, spec.gpus, inputs.provisioned.gpus
@@ -115,7 +115,7 @@
     capacity = provisioned.spot if spec.spot else 0.0
     if not waiting.can_wait_for_boot:
         capacity += provisioned.on_demand
-    horizon_s = max(boot_s, allowance_s - age_s - boot_s)
+    horizon_s = max(boot_s, allowed_delay_s - age_s - boot_s)
     remaining_work = work - capacity * horizon_s
     shortages = []
     if remaining_work > 0:
@@ -124,13 +124,13 @@
         shortages.append(Shortage(spec, True, on_demand_tasks, zones))
         missing -= on_demand_tasks
     eta_s = age_s + work / max(capacity, need_per_task)
-    early = priority >= HIGH or eta_s > _EARLY_REQUEST_SHARE * allowance_s
+    early = priority >= HIGH or eta_s > _EARLY_REQUEST_SHARE * allowed_delay_s
     if spec.spot and early and missing:
         shortages.append(Shortage(spec, False, missing, zones))
     return shortages
 
 
-def _allowance_s(inputs: ScalingInputs, job: Job, age_s: float) -> float:
+def _allowed_delay_s(inputs: ScalingInputs, job: Job, age_s: float) -> float:
     """Return the allowed delay until the start of a job's last task, in seconds.
 
     The delay counts from the time since which the job has been waiting.  An objective that a new
@@ -150,11 +150,11 @@
         limits.append(max(0.0, due_s - run_s))
     limits = sorted(limit for limit in limits if limit < math.inf)
     if not limits:
-        return objectives.default_s
+        return objectives.default_delay_s
     return next((limit for limit in limits if limit >= earliest_s), limits[-1])
 
 
-def displaced_replicas(inputs: ScalingInputs) -> list[Shortage]:
+def displaced_replica_shortages(inputs: ScalingInputs) -> list[Shortage]:
     """Return the shortages of service replicas on draining instances that fit nowhere else."""
     cluster_view = inputs.cluster_view
     shortages = []
--- a/src/sandladder/autoscaling/zone_choice.py
+++ b/src/sandladder/autoscaling/zone_choice.py
@@ -9,7 +9,7 @@
 from sandladder.scheduling import ZoneQuota, machine_allowed
 
 
-def single_zone(inputs: ScalingInputs, spec: JobSpec, tasks: int) -> ZoneQuota:
+def single_zone_quota(inputs: ScalingInputs, spec: JobSpec, tasks: int) -> ZoneQuota:
     """Return a quota for the one zone in which the tasks can start soonest.
 
     The zone has the most free capacity among the zones that have enough for all tasks or in which
--- a/tests/test_autoscaler.py
+++ b/tests/test_autoscaler.py
@@ -48,7 +48,7 @@
 
 
 class ImmediateCommitter:
-    """Commits each change after a short delay, or rejects it."""
+    """Commits each change on its own, or rejects it."""
 
     def __init__(self, cache: StateCache) -> None:
         self.cache, self.rejects, self.names = cache, False, []
