--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -71,7 +71,10 @@
     team_limits = {"red": limits}
     small = spec(1, entries=2, vcpus=2.0)
     assert rejection_reason(small, cache.machine_types, team_limits) is None
-    assert rejection_reason(spec(2, bureau="green"), cache.machine_types, team_limits) == "unknown team"
+    assert (
+        rejection_reason(spec(2, bureau="green"), cache.machine_types, team_limits)
+        == "unknown team"
+    )
     transaction = Transaction(cache)
     submit(transaction, small, 0.0)
     commit(cache, transaction)
