--- a/src/sandladder/state/batch.py
+++ b/src/sandladder/state/batch.py
@@ -72,7 +72,8 @@
             cache: the records.
             limits: the store's size limits.
             in_doubt: see `Transaction.in_doubt`; read by each `build`.
-            resolve: called with each change that needs no commit or fails, and its error, if any.
+            resolve: called with each change that needs no commit, and None, or that has failed,
+                and its error.
         """
         self._cache = cache
         self._limits = limits
@@ -105,7 +106,7 @@
                     break
                 if trial.size > self._limits.txn_ops or trial.conditions > self._limits.conditions:
                     log.error(
-                        "change %s needs %d operations, more than the store's limit",
+                        "change %s exceeds the store's limits; it needs %d operations",
                         change.name,
                         trial.size,
                     )
--- a/src/sandladder/state/cache/instances.py
+++ b/src/sandladder/state/cache/instances.py
@@ -1,4 +1,7 @@
-"""The cluster's cloud instances, decoded from chunked records."""
+"""The cluster's cloud instances, decoded from the records of their chunks.
+
+A chunk is a range of machine numbers whose instances share a record.
+"""
 
 from typing import Any
 
--- a/src/sandladder/state/cache/job_tables.py
+++ b/src/sandladder/state/cache/job_tables.py
@@ -21,8 +21,8 @@
 class JobTables:
     """Live and finished jobs, with indexes by machine, team and dependency.
 
-    The handler of changes reads `changed_machines` and `started_tasks` and replaces them by empty
-    dictionaries; no other attribute may be changed by callers.
+    The controller's change handler reads `changed_machines` and `started_tasks` and replaces them
+    by empty dictionaries; no other attribute may be changed by callers.
 
     Attributes:
         jobs: the live jobs by id.
@@ -49,7 +49,7 @@
         self.unarchived: dict[str, FinishedJob] = {}
         self.cancelled: dict[str, None] = {}
         # Jobs that peers reported as cancelled since the last read of the store, with the time on
-        # the steady clock.  Sufficient for stopping tasks only, as the store is authoritative.
+        # the steady clock.  Used only to stop tasks: only the store's records are authoritative.
         self._cancelled_by_peers: dict[str, float] = {}
         self.changed_machines: dict[str, None] = {}
         self.started_tasks: dict[tuple[str, int], None] = {}
@@ -97,7 +97,9 @@
         return new
 
     def expire_peer_cancellations(self, synced_until: float) -> None:
-        """Remove peers' reports from before the last read, whose records the cache now holds.
+        """Remove the cancellations that peers reported before the last read of the store.
+
+        The cache now holds their records.
 
         Args:
             synced_until: the cache holds all commits before this time on the steady clock.
--- a/src/sandladder/state/codecs/split_values.py
+++ b/src/sandladder/state/codecs/split_values.py
@@ -18,8 +18,10 @@
 _PART_OVERHEAD_BYTES = len(
     msgspec.json.encode({_TEXT: "", _PART_COUNT: 1000, _STAMP: 1 << 53, _FIRST_INDEX: 1000})
 )
-# Bounds the memory that a malformed record can use.
+# Maximum length of a joined record, in bytes: bounds the memory that a malformed one can use.
 _JOINED_BYTES_LIMIT = 4 << 20
+# Upper bound assumed for the number of continuations: the indices used with odd and with even
+# stamps must not overlap.
 _CONTINUATIONS_LIMIT = 999
 
 
--- a/src/sandladder/state/errors.py
+++ b/src/sandladder/state/errors.py
@@ -63,7 +63,7 @@
     """Some keys were not at the versions that a transaction expected.
 
     Attributes:
-        failed: the keys that were not.
+        failed: the keys that were at other versions.
     """
 
     def __init__(self, failed: list[str]) -> None:
--- a/src/sandladder/state/group_commit.py
+++ b/src/sandladder/state/group_commit.py
@@ -48,8 +48,8 @@
 # A transaction is limited to what the write limit allows in this many seconds: larger transactions
 # of several controllers exceed the limit together and are rejected.
 _MAX_TRANSACTION_S = 1.5
-# The share of a full transaction that is used: its factor on a conflict and its minimum, the
-# minimum when a body is too long, and its factor on a commit.
+# The share of a full transaction that is used: its factor on a conflict or a body that is too long,
+# its minimum after conflicts, its minimum after a long body, and its factor on a commit.
 _SHARE_DECREASE, _MIN_SHARE, _MIN_SHARE_FOR_LONG_BODY, _SHARE_INCREASE = 0.5, 0.25, 0.1, 1.5
 # Base of the retry delay, in puts at the store's write limit.  The delay is random: up to this
 # after a conflict, and from this to three times as long after an error.
@@ -174,7 +174,7 @@
             self._limits.reset()
         self._queue.sort(key=lambda change: change.priority)
         # Without write budget, only lease changes, requests, urgent starts and aged changes are
-        # batched: a small transaction that the store rejects is soon retried.
+        # batched: their transactions are small, so one that the store rejects is soon retried.
         delay = self._store.writes.delay(self._queue[0].cost)
         urgent = self._queue[0].priority < PRIORITY_JOB
         if delay > 0 and not urgent:
--- a/src/sandladder/state/keys.py
+++ b/src/sandladder/state/keys.py
@@ -27,7 +27,8 @@
 AUTOSCALER_KEY = "s/renter"  # the controller that runs the autoscaler
 MACHINE_TYPES_KEY = "s/types"  # the cloud's machine types
 
-# The prefixes that a controller loads at startup: all but the archived jobs.
+# The prefixes that a controller loads at startup: all but the archived jobs.  "s/r" and "s/t" also
+# cover the single records.
 STARTUP_PREFIXES = (
     JOB_PREFIX,
     INVENTORY_PREFIX,
--- a/src/sandladder/state/pending_change.py
+++ b/src/sandladder/state/pending_change.py
@@ -23,7 +23,7 @@
 PRIORITY_JOB = Priority(2)
 # Deferrable changes.
 PRIORITY_BACKGROUND = Priority(9)
-# Lower than all others, as a bound that admits every change.
+# A bound that includes every change.
 LAST_PRIORITY = Priority(math.inf)
 
 
--- a/src/sandladder/state/store_limits.py
+++ b/src/sandladder/state/store_limits.py
@@ -40,9 +40,9 @@
         strictest: the smallest limits that may come into force without notice.
     """
 
-    def __init__(self, state: StoreSettings, cache: StateCache) -> None:
-        self.configured = state
-        self.strictest = state.strictest()
+    def __init__(self, settings: StoreSettings, cache: StateCache) -> None:
+        self.configured = settings
+        self.strictest = settings.strictest()
         self._cache = cache
         # Limits found by rejections.
         self._observed_txn_ops = math.inf
--- a/src/sandladder/state/token_bucket.py
+++ b/src/sandladder/state/token_bucket.py
@@ -4,10 +4,10 @@
 
 # The target rate of all controllers together, as a share of the limit.
 _TARGET_SHARE = 0.95
-# The bucket's size, in seconds at the controller's rate before rejections.
+# The bucket's size, in seconds at the controller's share of the target rate.
 _BURST_S = 0.7
-# The rate factor: its minimum, and its change on a rejection and on a success.  A small decrease,
-# as chance collisions between controllers are rejected too.
+# The rate factor: its minimum, and the factors by which a rejection and a success change it.  The
+# decrease is small because chance collisions between controllers are rejected too.
 _MIN_RATE_FACTOR, _RATE_DECREASE, _RATE_INCREASE = 0.7, 0.95, 1.05
 # The share of its size at which the bucket is regarded as full.
 _FULL_SHARE = 0.95
@@ -23,7 +23,7 @@
     reduce the rate further, and successes increase it again.
 
     Attributes:
-        share: this controller's share of the limit, set by the peer service.
+        share: this controller's share of the limit, set by `peers.WriteRateShare`.
     """
 
     def __init__(self, limit: float, min_limit: float | None = None) -> None:
@@ -84,9 +84,9 @@
         self._rate_factor = min(1.0, self._rate_factor * _RATE_INCREASE)
 
     def on_rejected(self, amount: float) -> None:
-        """Reduce the rate after a request over the limit, and refund the amount up to a level of 0.
+        """Reduce the rate after a request over the limit, and refund the amount up to 0 tokens.
 
-        The level stays at 0 or below, as other controllers have used up the limit.
+        The bucket stays empty, as other controllers have used up the limit.
         """
         self._rate_factor = max(self._min_rate_factor, self._rate_factor * _RATE_DECREASE)
         self._tokens = min(self._tokens + amount, 0.0)
