--- a/src/sandladder/membership/changes.py
+++ b/src/sandladder/membership/changes.py
@@ -19,7 +19,7 @@
     SUSPECT = "suspect"  # another member becomes suspected
     CLEAR = "clear"  # the suspicion of another member is withdrawn
     EVICT = "evict"  # another member is evicted
-    CLAIM = "claim"  # this process takes a team that the records give to its controller
+    CLAIM = "claim"  # this process claims a team of its controller, or one that fails over to it
     RETURN = "return"  # a team is reassigned to its home controller
 
 
@@ -36,10 +36,10 @@
 class ChangeContext(NamedTuple):
     """The process that makes a change, the time, and the relevant settings."""
 
-    own: TeamAssignment  # this process
+    own: TeamAssignment  # this controller and the incarnation of this process
     homes: Mapping[str, str]  # by team, the controller that schedules it while all are healthy
     wall_clock_s: float
-    settling_time_s: float  # after a first eviction
+    settling_time_s: float  # the settling time after a first eviction
 
 
 def build_transition(
--- a/src/sandladder/membership/controller_lease.py
+++ b/src/sandladder/membership/controller_lease.py
@@ -199,7 +199,7 @@
         self._inventory_stored = False
 
     def _expires_at(self, sent: float) -> float:
-        """Return until when a lease is certainly valid if its request was sent at `sent`."""
+        """Return the time until which a lease requested at `sent` is certainly valid."""
         return sent + self._ttl_s * _CLOCK_DRIFT_FACTOR - _EXPIRY_MARGIN_S
 
     async def _acquire(self) -> None:
--- a/src/sandladder/membership/failure_detector.py
+++ b/src/sandladder/membership/failure_detector.py
@@ -9,7 +9,7 @@
 allows the others more time, suspects no member, and does not count as a witness.
 
 An assessment is an estimate and proves nothing, except that the lease has expired.  The module is
-pure: times are passed in, in seconds on the monotonic clock.
+pure: times are passed in, in seconds on the steady clock.
 """
 
 import math
@@ -33,7 +33,8 @@
 _WARM_UP_INTERVALS = 2
 # Heartbeat intervals for which another controller's last contact with a peer counts as recent.
 _CONTACT_INTERVALS = 4
-# Heartbeat intervals after the last heartbeat from which a write shows that its writer is alive.
+# A write that follows the last heartbeat by more heartbeat intervals than this shows that its
+# writer is alive.
 _WRITE_MARGIN_INTERVALS = 2
 # Inventory intervals without a write after which the inventory is overdue.
 _OVERDUE_INVENTORY_INTERVALS = 2.5
--- a/src/sandladder/membership/member_health.py
+++ b/src/sandladder/membership/member_health.py
@@ -1,4 +1,4 @@
-"""The latest assessments of the members, and for how long all of them have been healthy."""
+"""The latest assessments of the members, and the time for which all have been healthy."""
 
 import logging
 import math
@@ -14,7 +14,7 @@
 class MemberHealth:
     """Tracks the other controllers' health, from the failure detector and the roster.
 
-    Pure except for logging: times are passed in, in seconds on the monotonic clock.
+    Pure except for logging: times are passed in, in seconds on the steady clock.
     """
 
     def __init__(self, detector: FailureDetector, cache: StateCache) -> None:
@@ -42,7 +42,7 @@
             self._unhealthy_at = now
 
     def all_healthy_s(self, now: float) -> float:
-        """Return for how long all members, including this one, have been healthy."""
+        """Return how long all members, including this one, have been healthy, in seconds."""
         return now - self._unhealthy_at
 
     def member_assessment(self, node: str) -> HealthAssessment | None:
--- a/src/sandladder/membership/phi_accrual.py
+++ b/src/sandladder/membership/phi_accrual.py
@@ -20,7 +20,7 @@
 
 
 class PhiAccrualWindow:
-    """The recent intervals between one peer's heartbeats, on this process's monotonic clock."""
+    """The recent intervals between one peer's heartbeats, on this process's steady clock."""
 
     def __init__(self, heartbeat_interval_s: float) -> None:
         """Create an empty window.
@@ -35,7 +35,7 @@
         self.last_arrival = -math.inf  # of a heartbeat; -inf if none has arrived
 
     def record_arrival(self, now: float) -> None:
-        """Record a heartbeat that arrived at `now`, in seconds on the monotonic clock."""
+        """Record a heartbeat that arrived at `now`, in seconds on the steady clock."""
         interval = now - self.last_arrival
         self.last_arrival = now
         # Extra heartbeats between the regular ones must not shorten the expected interval.
@@ -76,7 +76,7 @@
         """Return the level of suspicion: minus the decimal logarithm of the silence's probability.
 
         Args:
-            now: in seconds on the monotonic clock.
+            now: in seconds on the steady clock.
             health_multiplier: the factor by which intervals are stretched, for an observer that
                 is late itself.
 
--- a/src/sandladder/membership/policy.py
+++ b/src/sandladder/membership/policy.py
@@ -5,7 +5,7 @@
 evicted member can join again, so that a false suspicion only causes a delay.
 
 Pure: `MembershipService` passes the times in and commits the decisions.  Times are in seconds on
-the monotonic clock, except `wall_clock_s`.
+the steady clock, except `wall_clock_s`.
 """
 
 from collections.abc import Iterable
@@ -41,7 +41,7 @@
 _STABLE_INTERVALS = 1.0
 # Time for which a team without a record waits for its home to join.
 _HOME_JOIN_INTERVALS = 0.5
-# Time for which a member must have been in before its teams return, after a first eviction.
+# Time in state IN before a member's teams return to it, after a first eviction.
 _SETTLING_INTERVALS = 2.0
 
 # Extra delay per rank, in heartbeat intervals of controllers, so that usually only the first
@@ -93,7 +93,7 @@
 
     @property
     def settling_time_s(self) -> float:
-        """How long a member must have been in before its teams return, after a first eviction."""
+        """The time in state IN before a member's teams return to it, after a first eviction."""
         return _SETTLING_INTERVALS * self.detector.report_s
 
     def decide(
@@ -102,9 +102,10 @@
         """Assess the other controllers and return the changes to commit now, in order.
 
         Args:
-            now: on the monotonic clock.
+            now: on the steady clock.
             wall_clock_s: the time of day.
-            own: this process if its lease is valid and it can write to the store; else None.
+            own: this controller and the incarnation of this process, if its lease is valid and it
+                can write to the store; else None.
         """
         self._health.update(now)
         self._record_assignments(now)
@@ -143,7 +144,7 @@
         Args:
             change: a change that `decide` returned.
             cache: the records.
-            own: this process.
+            own: this controller and the incarnation of this process.
             wall_clock_s: the time of day.
 
         Raises:
@@ -167,7 +168,7 @@
     def _team_claims(
         self, now: float, writable_since: float, own: TeamAssignment
     ) -> list[MembershipChange]:
-        """Return claims of the teams that belong to this controller but not to its process yet."""
+        """Return claims of this controller's teams that are not assigned to this process yet."""
         home_joining = now - writable_since < _HOME_JOIN_INTERVALS * self.detector.report_s
         changes = []
         for team, home in self.homes.items():
@@ -198,7 +199,7 @@
                 continue
             key = _ConditionKey(kind.value, node, member.incarnation, member.refutations)
             active.add(key)
-            if self._has_rank_delay_elapsed(now, key):
+            if self._is_rank_delay_over(now, key):
                 changes.append(MembershipChange(kind, node, member, assessment.evidence))
         self._condition_since = {
             key: since for key, since in self._condition_since.items() if key in active
@@ -213,7 +214,7 @@
         now: float,
         active: set[_ConditionKey],
     ) -> ChangeKind | None:
-        """Return the kind of change due for a member that is in or suspected, or None.
+        """Return the kind of change due for a member in state IN or SUSPECT, or None.
 
         The conditions whose duration matters are added to `active`.
         """
@@ -250,7 +251,7 @@
         tolerance_exceeded = assessment.all_refused or assessment.silent_s >= tolerated_s
         return assessment.witnesses >= _MIN_WITNESSES and tolerance_exceeded
 
-    def _has_rank_delay_elapsed(self, now: float, key: _ConditionKey) -> bool:
+    def _is_rank_delay_over(self, now: float, key: _ConditionKey) -> bool:
         """Return whether the condition has held for this controller's rank delay.
 
         The healthy members try in order, each after a delay that grows with its rank, so that a
@@ -278,7 +279,7 @@
         return []
 
     def _is_home_ready(self, home: str, wall_clock_s: float) -> bool:
-        """Return whether a team's home is healthy and has been in for its settling time."""
+        """Return whether a team's home is healthy and its settling time in state IN is over."""
         member = self._cache.roster.get(home)
         if member is None or member.state != IN:
             return False
--- a/src/sandladder/membership/roster.py
+++ b/src/sandladder/membership/roster.py
@@ -1,8 +1,8 @@
 """The roster: a record of the member controllers, and the assignment of teams to them.
 
 All controllers that read the records at the same revision see the same members and assignees.  The
-roster does not prove that a controller has stopped: starts are conditional on the teams' records,
-and losses on the proofs in docs/safety.md.  Pure.
+roster does not prove that a controller has stopped: a start is conditional on the team's record,
+and a loss is declared only on a proof of docs/safety.md.  Pure.
 """
 
 from collections import Counter
@@ -31,13 +31,13 @@
         return RosterRecords(cache.roster, cache.assignments)
 
     def is_assigned(self, team: str, node: str) -> bool:
-        """Return whether the team's record names this controller, whichever its process."""
+        """Return whether the team's record names this controller, regardless of the process."""
         assignment = self.assignments.get(team)
         return assignment is not None and assignment.node == node
 
 
 def settling_time_s(member: Member, base_settling_time_s: float) -> float:
-    """Return how long a member must have been in before its teams return to it, in seconds.
+    """Return the time in state IN before a member's teams return to it, in seconds.
 
     `base_settling_time_s` applies after the first eviction.  Each further eviction soon after the
     member came back doubles it, so that a flapping controller does not move its teams repeatedly.
@@ -54,7 +54,7 @@
 
 
 def team_counts(records: RosterRecords) -> Counter[str]:
-    """Return the number of teams assigned to each member that is not out."""
+    """Return the number of teams assigned to each member that is not in state OUT."""
     roster = records.roster
     return Counter(
         assignment.node
@@ -64,7 +64,7 @@
 
 
 def successor(team: str, roster: Roster, counts: Mapping[str, int]) -> str | None:
-    """Return the member to which a team fails over, or None if no member is in.
+    """Return the member to which a team fails over, or None if no member is in state IN.
 
     It is the member with the fewest teams; ties are broken by rendezvous hashing.  The result is
     the same for all controllers that read the same records.
@@ -78,10 +78,10 @@
 
 
 def rightful_assignee(team: str, home: str, records: RosterRecords) -> str | None:
-    """Return the member that is responsible for a team, or None if no member is in.
+    """Return the member responsible for a team, or None if there is none.
 
     It is the controller named in the team's record, or the team's home if there is no record; if
-    that controller is out, its successor.
+    that controller is in state OUT or not in the roster, its successor, if any.
     """
     assignment = records.assignments.get(team)
     node = home if assignment is None else assignment.node
--- a/src/sandladder/membership/roster_transitions.py
+++ b/src/sandladder/membership/roster_transitions.py
@@ -1,7 +1,7 @@
 """The transitions of the roster.
 
 Each change that moves a team is one compare-and-swap on the roster and on the team's record, so
-that of two controllers that decide on different records one is refused.
+that a change decided on outdated records is refused.
 
 Each function takes the current records and returns the transition, which is empty if nothing
 changes; `write` makes it conditional on these records.  The terms are those of SWIM (Das, Gupta
@@ -131,7 +131,7 @@
 ) -> RosterTransition:
     """Evict a member and assign its teams to their successors.
 
-    The caller ensures that the member is suspected or that its lease has expired.
+    The caller ensures that the member is suspected or leaving, or that its lease has expired.
 
     Args:
         records: the current records.
@@ -204,10 +204,11 @@
 def reassign(
     records: RosterRecords, team: str, node: str, observed: TeamAssignment
 ) -> RosterTransition:
-    """Reassign a team to another member that is in.
+    """Reassign a team to another member in state IN.
 
     Raises:
-        PreconditionFailedError: the member is not in, or the team has moved since it was observed.
+        PreconditionFailedError: the member is not in state IN, or the team has moved since it was
+            observed.
     """
     member = records.roster.get(node)
     if member is None or member.state != IN:
--- a/src/sandladder/membership/service.py
+++ b/src/sandladder/membership/service.py
@@ -58,7 +58,7 @@
         on_teams_moved: Callable[[], None],
         on_unready_changed: Callable[[frozenset[str]], None],
     ) -> None:
-        """Create the service without starting it; `run` does its work.
+        """Create the service without starting it; `run` decides on changes and commits them.
 
         Args:
             policy: decides what to commit.
@@ -76,7 +76,8 @@
         self.policy = policy
         self.detector: FailureDetector = policy.detector
         self.node = policy.node
-        self.own: TeamAssignment | None = None  # this process, once it has joined
+        # This controller and the incarnation of this process, once it has acquired a lease.
+        self.own: TeamAssignment | None = None
         self.leaving = False
         self._wakeup = Signal()
         self._zones = zones
@@ -111,7 +112,7 @@
         self._wakeup.set()
 
     def observe(self, now: float) -> None:
-        """Note, after the records changed, whose writes are new and which members changed state."""
+        """Record the new writes of controllers and changes of members after the records changed."""
         for node, inventory in self._cache.inventories.items():
             if self._seen_inventories.get(node) is not inventory:
                 self._seen_inventories[node] = inventory
@@ -132,12 +133,12 @@
     # Queries
 
     def assignee(self, team: str) -> str | None:
-        """Return the member that is responsible for a team, or None if no member is in."""
+        """Return the member responsible for a team, or None if there is none."""
         home = self.policy.homes.get(team, self.node)
         return rightful_assignee(team, home, RosterRecords.from_cache(self._cache))
 
     def members(self) -> list[str]:
-        """Return the controllers that are in or suspected according to the roster, sorted."""
+        """Return the controllers in state IN or SUSPECT according to the roster, sorted."""
         roster = sorted(self._cache.roster.items())
         return [node for node, member in roster if member.state in (IN, SUSPECT)]
 
@@ -210,9 +211,9 @@
                         tasks.start_soon(self._commit, change)
 
     def _own_if_writable(self) -> TeamAssignment | None:
-        """Return this process if it can write to the store, else None.
+        """Return `own` if this process can write to the store, else None.
 
-        Otherwise suspicions decided during an outage of the store would be committed after it.
+        Guards against committing, after an outage of the store, suspicions decided during it.
         """
         writable = self._lease.alive() and self._store_reachable() and not self.leaving
         return self.own if writable else None
--- a/src/sandladder/membership/worker_assignment.py
+++ b/src/sandladder/membership/worker_assignment.py
@@ -94,7 +94,7 @@
         Args:
             agent: the agent whose heartbeat has arrived.
             loads: the controllers that accept agents, including this one.
-            now: on the monotonic clock, in seconds.
+            now: on the steady clock, in seconds.
             stable: whether all members have been healthy long enough.
         """
         own = loads.get(self._node)
@@ -128,7 +128,7 @@
         loads: Mapping[str, WorkerLoad],
         fair_share: float,
     ) -> _Target | None:
-        """Return the best controller in the agent's zone, or with less load if this one is full."""
+        """Return the best target in the agent's zone or, if this one is full, with less load."""
         outside_zone = own.zone != agent.zone
         own_bound = (_FOREIGN_LOAD_BOUND if outside_zone else _LOAD_BOUND) * fair_share
         full = own.agents + (not agent.reports_here) > own_bound
