--- a/src/sandladder/peers/heartbeats.py
+++ b/src/sandladder/peers/heartbeats.py
@@ -24,7 +24,7 @@
     fencing_token: Callable[[], int]
     # Returns whether the store has answered recently.
     store_reachable: Callable[[], bool]
-    # Returns the number of agents that report here at a time on the monotonic clock, or None if
+    # Returns the number of agents that report here at a time on the steady clock, or None if
     # this controller accepts no agents.
     agents: Callable[[float], int | None]
     # Returns, by controller, its latest clock reading that has arrived here.
@@ -50,7 +50,7 @@
             sent: when it was sent, on the sender's clock.
             acknowledged: by controller, its latest clock reading that the sender received.
             cancelled_jobs_complete: whether it lists all cancelled jobs that the sender knows.
-            now: on this process's monotonic clock, in seconds.
+            now: on this process's steady clock, in seconds.
         """
 
 
@@ -59,7 +59,7 @@
     """The contents of a peer's last heartbeat."""
 
     heartbeat_at: float = float("-inf")  # when it arrived
-    demand: int = 0  # changes that wait for the store at the peer
+    demand: int = 0  # maximum number of puts and deletes that wait for the store at the peer
     schema_version: int = SCHEMA_V1  # the newest one that the peer supports
 
 
@@ -166,7 +166,7 @@
         self._membership.receive_heartbeat(heartbeat.node, status)
 
     def outdated_peers(self) -> set[str]:
-        """Return the peers that send heartbeats and support only the first schema."""
+        """Return the peers that send heartbeats and support schema version 1 only."""
         now = clock.now()
         return {
             node
@@ -175,7 +175,7 @@
         }
 
     def supports_schema(self, node: str, schema_version: int) -> bool:
-        """Return whether a peer has announced that it supports this schema."""
+        """Return whether a peer has announced that it supports a schema version."""
         peer = self._peers.get(node)
         return peer is not None and peer.schema_version >= schema_version
 
--- a/src/sandladder/peers/peer_service.py
+++ b/src/sandladder/peers/peer_service.py
@@ -69,7 +69,7 @@
             cache: this process's cache of the records.
             watch: woken when a peer has committed a change.
             membership: provides the peers that can serve.
-            teams: provides the teams' assignees.
+            teams: provides the members and the teams' assignees.
             heartbeats: builds and processes heartbeats.
             background: runs the forwarded requests.
             events: callbacks of the services above this package.
@@ -97,7 +97,7 @@
     # Team assignments and serving peers
 
     def live_nodes(self) -> list[str]:
-        """Return the controllers that take part."""
+        """Return the current members."""
         return self._teams.live_nodes()
 
     def is_assigned(self, team: str) -> bool:
@@ -109,11 +109,11 @@
         return self._teams.assignee(team)
 
     def outdated_peers(self) -> set[str]:
-        """Return the peers that send heartbeats and support only the first schema."""
+        """Return the peers that send heartbeats and support schema version 1 only."""
         return self._heartbeats.outdated_peers()
 
     def find_serving_peer(self, schema_version: int = SCHEMA_V1) -> str | None:
-        """Return a random peer that can serve and supports this schema, or None."""
+        """Return a random peer that can serve and supports a schema version, or None."""
         serving = [
             node
             for node in self._membership.serving_peers()
--- a/src/sandladder/peers/team_directory.py
+++ b/src/sandladder/peers/team_directory.py
@@ -1,4 +1,4 @@
-"""The controller that schedules each team: by the roster, or under the first schema by a ring."""
+"""The controller that schedules each team: by the roster, or in schema version 1 by a ring."""
 
 from collections.abc import Sequence
 
@@ -34,11 +34,10 @@
         self._membership = membership
 
     def live_nodes(self) -> list[str]:
-        """Return the controllers that take part.
+        """Return the current members.
 
-        They are the members of the roster, which all controllers share.  The first schema has no
-        roster; each controller then uses its own assessments, and a disagreement only causes a
-        retry.
+        They are those of the roster, which all controllers share.  Schema version 1 has no roster;
+        each controller then uses its own assessments, and a disagreement only causes a retry.
         """
         members = self._membership.members()
         if members:
--- a/src/sandladder/peers/write_rate.py
+++ b/src/sandladder/peers/write_rate.py
@@ -5,15 +5,16 @@
 
 from sandladder.state import GroupCommitter, StateCache, StoreClient, StoreLimits
 
-# An idle controller's demand is this fraction of a transaction, so that it can always write.
+# A full transaction divided by this is added to each controller's demand, so that an idle one can
+# write as well.
 _IDLE_DEMAND_DIVISOR = 4
 
 
 class PeerDemand(NamedTuple):
-    """The number of changes that wait for the store at a peer."""
+    """The maximum number of puts and deletes that wait for the store at a peer."""
 
     node: str
-    waiting_changes: int | None  # None if the peer has sent no heartbeat recently
+    waiting_operations: int | None  # None if the peer has sent no heartbeat recently
 
 
 class WriteRateShare:
@@ -45,9 +46,9 @@
         idle_demand = self._limits.txn_ops / _IDLE_DEMAND_DIVISOR
         own_demand = idle_demand + self._committer.demand
         total_demand = own_demand
-        for node, waiting_changes in peers:
-            if waiting_changes is not None:
-                total_demand += idle_demand + waiting_changes
+        for node, waiting_operations in peers:
+            if waiting_operations is not None:
+                total_demand += idle_demand + waiting_operations
             elif node in self._cache.inventories:
                 total_demand += own_demand  # alive, but its demand is unknown
         self._store.writes.share = own_demand / total_demand
