--- a/src/sandladder/controller/services.py
+++ b/src/sandladder/controller/services.py
@@ -224,7 +224,7 @@
             limits=self.limits,
             lease=self.controller_lease,
             store_reachable=self.store_reachable,
-            wall=self.wall_clock,
+            wall_clock=self.wall_clock,
             on_teams_moved=self._assignments_changed,
             on_unready_changed=self.cluster_view.avoid_controllers,
         )
--- a/src/sandladder/membership/service.py
+++ b/src/sandladder/membership/service.py
@@ -54,7 +54,7 @@
         limits: StoreLimits,
         lease: LeaseStatus,
         store_reachable: Callable[[], bool],
-        wall: Callable[[], float],
+        wall_clock: Callable[[], float],
         on_teams_moved: Callable[[], None],
         on_unready_changed: Callable[[frozenset[str]], None],
     ) -> None:
@@ -68,7 +68,7 @@
             limits: the store's limits on transactions.
             lease: this controller's lease; nothing is written while it may have expired.
             store_reachable: returns whether the store has answered recently.
-            wall: returns the time of day, in seconds.
+            wall_clock: returns the time of day, in seconds.
             on_teams_moved: called after this process changed the roster or a team's assignment.
             on_unready_changed: called with the controllers at level UNREADY or worse, whenever
                 this set changes.
@@ -86,7 +86,7 @@
         self._limits = limits
         self._lease = lease
         self._store_reachable = store_reachable
-        self._wall = wall
+        self._wall_clock = wall_clock
         self._on_teams_moved = on_teams_moved
         self._on_unready_changed = on_unready_changed
         self._unready: frozenset[str] = frozenset()
@@ -202,7 +202,7 @@
                 now = clock.now()
                 if now - wait_started >= interval_s:  # else the wait ended early
                     self.detector.record_wakeup(now - wait_started - interval_s, now)
-                changes = self.policy.decide(now, self._wall(), self._own_if_writable())
+                changes = self.policy.decide(now, self._wall_clock(), self._own_if_writable())
                 self._notify_unready()
                 for change in changes:
                     key = change.kind, change.subject
@@ -255,7 +255,7 @@
 
     def _apply(self, change: MembershipChange) -> Callable[[Transaction], bool]:
         """Return a function that applies a change to the records current at each attempt."""
-        own, max_operations, wall_clock_s = self.own, self._limits.txn_ops, self._wall()
+        own, max_operations, wall_clock_s = self.own, self._limits.txn_ops, self._wall_clock()
         assert own is not None
 
         def apply(transaction: Transaction) -> bool:
