--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -64,12 +64,12 @@
     return cache.jobs[next(iter(transaction.jobs))]
 
 
-def inventory(machines: int, images: int = 4, part: str = "vm-") -> MachineInventory:
+def inventory(machines: int, images: int = 4, name_prefix: str = "vm-") -> MachineInventory:
     seen = {}
     for number in range(machines):
         names = tuple(f"img-{(number + i) % 31}" for i in range(images))
         odd = number % 9 == 0
-        seen[f"{part}{number:06d}"] = MachineStatus(
+        seen[f"{name_prefix}{number:06d}"] = MachineStatus(
             "small" if number % 3 else "large",
             "north" if number % 2 else "south",
             bool(number % 5),
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -99,14 +99,16 @@
 
 
 @pytest.mark.parametrize("machines", [0, 1, 160, 500, 2000])
-@pytest.mark.parametrize("part", ["vm-", "machine-of-another-kind-"])
-def test_inventory_of_any_size_fits_the_store_and_round_trips(machines: int, part: str) -> None:
+@pytest.mark.parametrize("name_prefix", ["vm-", "machine-of-another-kind-"])
+def test_inventory_of_any_size_fits_the_store_and_round_trips(
+    machines: int, name_prefix: str
+) -> None:
     """Guards against an inventory that the store rejects, so that others use an outdated one."""
     limit = 8 * 1024
-    before = inventory(machines, part=part)
+    before = inventory(machines, name_prefix=name_prefix)
     values = cbor2.loads(cbor2.dumps(inventory_values_v1(before, limit)))
     assert all(len(msgspec.json.encode(value)) <= limit for value in values)
-    assert (len(values) == 1) == (machines <= 500 and (part == "vm-" or machines <= 160))
+    assert (len(values) == 1) == (machines <= 500 and (name_prefix == "vm-" or machines <= 160))
     cache = StateCache()
     items = [(f"{INVENTORY_PREFIX}a" + (f"/{i}" if i else ""), v, 5) for i, v in enumerate(values)]
     cache.apply(5, items[::-1])
