--- a/src/sandladder/membership/service.py
+++ b/src/sandladder/membership/service.py
@@ -112,7 +112,10 @@
         self._wakeup.set()
 
     def observe(self, now: float) -> None:
-        """Record the new writes of controllers and changes of members after the records changed."""
+        """Record the controllers' new writes, and react to changes of members' states.
+
+        Called after the records changed.
+        """
         for node, inventory in self._cache.inventories.items():
             if self._seen_inventories.get(node) is not inventory:
                 self._seen_inventories[node] = inventory
@@ -211,7 +214,7 @@
                         tasks.start_soon(self._commit, change)
 
     def _own_if_writable(self) -> TeamAssignment | None:
-        """Return `own` if this process can write to the store, else None.
+        """Return `own` if this process may change the roster now, else None.
 
         Guards against committing, after an outage of the store, suspicions decided during it.
         """
--- a/src/sandladder/state/batch.py
+++ b/src/sandladder/state/batch.py
@@ -72,8 +72,8 @@
             cache: the records.
             limits: the store's size limits.
             in_doubt: see `Transaction.in_doubt`; read by each `build`.
-            resolve: called with each change that needs no commit, and None, or that has failed,
-                and its error.
+            resolve: called with each change that has failed and its error, and with each change
+                that needs no commit and None.
         """
         self._cache = cache
         self._limits = limits
