--- a/tests/membership/test_crash_points.py
+++ b/tests/membership/test_crash_points.py
@@ -14,8 +14,9 @@
 from simulation import SimulatedCluster, job, now, run
 from simulation.workloads import wait_until_healthy
 
-# Returns whether a controller crashes at a request: its source, or else its target.  The arguments
-# are "before" or "after" (the request is served), its source, its target and the request.
+# Returns whether a controller crashes at a request.  The arguments are "before" or "after" the
+# request is served, its source, its target, and the request.  The source crashes if it is a
+# controller, otherwise the target.
 CrashPoint = Callable[[str, str, str, Request], bool]
 
 
--- a/tests/membership/test_failure_detector.py
+++ b/tests/membership/test_failure_detector.py
@@ -48,8 +48,8 @@
     now = 0.0
     while now < until:
         now += HEARTBEAT_S
-        for name, said in statuses.items():
-            detector.record_heartbeat(name, said, now)
+        for name, peer_status in statuses.items():
+            detector.record_heartbeat(name, peer_status, now)
     return now
 
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -178,11 +178,11 @@
         queue += [PendingChange("idle", PRIORITY_BACKGROUND, 1, put("s/p/x"))]
         for change in queue:
             change.queued_at = 10.0
-        aged = [
+        by_priority = [
             change.name for change in fair_order(queue, PRIORITY_BACKGROUND, 4, aged_before=5.0)
         ]
         queue[9].queued_at = 1.0
-        return aged, [
+        return by_priority, [
             change.name for change in fair_order(queue, PRIORITY_BACKGROUND, 4, aged_before=5.0)
         ]
 
