--- a/src/sandladder/agents/__init__.py
+++ b/src/sandladder/agents/__init__.py
@@ -7,8 +7,8 @@
 
 The package keeps, in memory only, one `AgentSession` per agent that reports to this controller, the
 HTTP clients for sending commands, and the time of the last answer to each agent.  It does not
-write to the store or place tasks.  A silent agent alone is no proof that its tasks ended; proved
-ends are passed to the callbacks that commit them.
+write to the store or place tasks.  An agent's silence alone does not prove that its tasks ended;
+proved ends are passed to the callbacks that commit them.
 """
 
 from sandladder.agents.agent_service import AgentService
--- a/src/sandladder/agents/agent_clients.py
+++ b/src/sandladder/agents/agent_clients.py
@@ -22,7 +22,7 @@
         self._clients: dict[str, _AgentClient] = {}
 
     def get(self, machine: str, addr: str) -> HttpRequester:
-        """Return the client for the agent of a machine at an address."""
+        """Return the client for a machine's agent, which listens at `addr`."""
         agent_client = self._clients.get(machine)
         if agent_client is None or agent_client.addr != addr:
             host, port = parse_address(addr)
--- a/src/sandladder/agents/agent_expiry.py
+++ b/src/sandladder/agents/agent_expiry.py
@@ -58,7 +58,7 @@
                 self._remove_silent_agents(now)
             await self._clients.close_except(self._reconciler.agents)
             self._scheduler.commit_due_ends()
-            self._remove_finished_jobs()
+            self._prune_avoided_machines()
             self._scheduler.request_planning()
 
     async def _reconcile_partition(self, partition: int) -> None:
@@ -78,7 +78,7 @@
         self._reconciler.remove_silent_agents(now, _REMOVAL_AFTER_LEASES * self._lease_s)
         self._scheduler.cluster.forget_missing()
 
-    def _remove_finished_jobs(self) -> None:
+    def _prune_avoided_machines(self) -> None:
         """Remove the avoided machines of jobs that are no longer live."""
         avoided_machines = self._scheduler.avoided_machines
         for job_id in avoided_machines.keys() - self._store.cache.jobs.keys():
@@ -101,7 +101,7 @@
         return lost
 
     def _ended_epochs(self, machine: str, now: float) -> set[int]:
-        """Return the agent epochs with committed starts on a machine that have certainly ended."""
+        """Return which agent epochs with committed starts on a machine have certainly ended."""
         cache, cluster = self._store.cache, self._scheduler.cluster
         epochs = cache.agent_epochs[machine]
         instance = cache.instances.get(machine)
--- a/src/sandladder/agents/agent_redirect.py
+++ b/src/sandladder/agents/agent_redirect.py
@@ -12,8 +12,8 @@
 
 log = logging.getLogger(__name__)
 
-# If at least this many agents reported here and then no heartbeat arrives for this many heartbeat
-# intervals, the cause is this controller's network and not the agents.
+# A controller counts as isolated if at least this number of agents reported to it and then no
+# heartbeat arrives for this time, while agents still report to other controllers.
 _ISOLATION_MIN_AGENTS = 4
 _ISOLATION_HEARTBEAT_INTERVALS = 1.3
 
@@ -76,7 +76,7 @@
         )
 
     def is_isolated(self, now: float) -> bool:
-        """Return whether this controller lost contact with its agents while others receive them.
+        """Return whether this controller stopped receiving heartbeats while others do not.
 
         Guards against an isolated controller treating its healthy machines as failed and returning
         them to the cloud.
--- a/src/sandladder/agents/agent_session.py
+++ b/src/sandladder/agents/agent_session.py
@@ -26,20 +26,20 @@
         # Attempts reported in this agent epoch; none of them is started again.
         self.seen_attempts: set[AttemptKey] = set()
         # Whether the agent has reported this controller's fencing token, so that it rejects
-        # commands under earlier tokens, and whether the cache was read after that.
+        # commands under earlier tokens.
         self.accepts_token = False
-        self.synced = False
+        self.synced = False  # whether the store was read after the agent accepted the token
         self.acceptance_count = 0  # number of changes of `accepts_token` to True
         # Token of an unanswered direct command with a start.  The start may still be delivered
         # until the agent reports a later token or epoch.
         self.unanswered_start_token: int | None = None
-        # A start was sent in a heartbeat response that the agent may not have received yet.
+        # Whether a heartbeat response that the agent may not have received yet has a start.
         self.start_in_response = False
-        # The time up to which cancellations were known when a start was sent that may still be
-        # delivered; infinite without such a start.
+        # If a start may still be delivered: the time up to which all cancellations were known when
+        # it was sent.  Infinite otherwise.
         self.late_start_cancellations_known_until = math.inf
         self.command_in_flight = False
-        self.failed_jobs: set[str] = set()  # jobs that failed here since the last success
+        self.failed_jobs: set[str] = set()  # jobs with a failed task since the last success
         self._counted_exits: set[AttemptKey] = set()
 
     @property
@@ -49,7 +49,7 @@
 
     @property
     def late_start_possible(self) -> bool:
-        """Whether a start that is no longer in flight may still be delivered to the agent."""
+        """Whether an earlier start that was not confirmed may still be delivered to the agent."""
         return self.unanswered_start_token is not None or self.start_in_response
 
     def is_newer(self, heartbeat: AgentHeartbeat) -> bool:
@@ -102,7 +102,7 @@
         self.rule_out_late_start()
 
     def _count_exits(self) -> None:
-        """Update the jobs that failed here since the last success."""
+        """Update the failed jobs from the tasks that were newly reported as exited."""
         for key, task in self.reported_tasks.items():
             if task.state != TASK_EXITED or key in self._counted_exits:
                 continue
--- a/src/sandladder/agents/collaborators.py
+++ b/src/sandladder/agents/collaborators.py
@@ -39,7 +39,7 @@
 
     @property
     def now(self) -> float:
-        """The time that the observations are evaluated at, in seconds on the steady clock."""
+        """The time at which the observations are evaluated, in seconds on the steady clock."""
 
     @property
     def fresh_s(self) -> float:
--- a/src/sandladder/agents/heartbeat_endpoint.py
+++ b/src/sandladder/agents/heartbeat_endpoint.py
@@ -63,8 +63,8 @@
         if redirected is not None:
             return redirected
         if heartbeat.fencing_token > self._reconciler.fencing_token:
-            raised = await self._group.controller_lease.ensure_token(heartbeat.fencing_token)
-            if not raised:
+            acquired = await self._group.controller_lease.ensure_token(heartbeat.fencing_token)
+            if not acquired:
                 return _redirect_response(None)
         return self._accept(heartbeat)
 
--- a/src/sandladder/agents/heartbeat_intake.py
+++ b/src/sandladder/agents/heartbeat_intake.py
@@ -45,7 +45,7 @@
         """Process a heartbeat; `direct` marks the response to a direct command.
 
         Returns:
-            The agent's session, or None if a later heartbeat is known.
+            The agent's session, or None if the heartbeat is not newer than the latest known one.
         """
         now = self._scheduler.advance_time()
         agent, is_new = self._reconciler.receive_heartbeat(heartbeat, now, direct=direct)
@@ -63,7 +63,7 @@
 
         Commands based on an earlier read could contradict starts, stops and ends that another
         controller committed before the acceptance.  If this is cancelled, the agent receives no
-        commands until its next heartbeat starts it again.
+        commands until its next heartbeat restarts the read.
         """
         with anyio.move_on_after(self._lease_s):
             await self._store.watch.barrier()
--- a/src/sandladder/agents/lease_expiry.py
+++ b/src/sandladder/agents/lease_expiry.py
@@ -53,8 +53,9 @@
 
     An agent kills its tasks when no heartbeat was answered for the duration of its lease.  The
     proof therefore requires an interval of at least that length in which *no* controller answered.
-    For each controller there is an upper bound of its last answer to the agent, and a time up to
-    which no later answer exists; the interval is the intersection over all controllers.
+    For each controller there is an upper bound of the time of its last answer to the agent, and a
+    time until which it certainly gave no further answer.  These bound an interval without answers
+    of that controller; the proof uses the intersection of the intervals of all controllers.
     """
 
     def __init__(
@@ -111,7 +112,7 @@
     # Observations of the store
 
     def observe_agent_epochs(self, epochs: Mapping[str, Iterable[int]], now: float) -> None:
-        """Replace the agent epochs with committed starts, by machine.
+        """Set the agent epochs that have committed starts, by machine.
 
         Must be called regularly, not only once an agent is silent: a proof for an epoch starts at
         the first call that included it.
--- a/src/sandladder/agents/lease_renewal.py
+++ b/src/sandladder/agents/lease_renewal.py
@@ -26,7 +26,7 @@
         self._suspended = False  # result of the latest check of the guard
 
     def permitted(self) -> bool:
-        """Return whether any agent lease may be renewed now."""
+        """Return whether this controller may renew agent leases now."""
         return self._controller_lease.alive() and not self._is_suspended()
 
     def renew(self, agent: AgentSession) -> bool:
--- a/src/sandladder/agents/lease_renewal_guard.py
+++ b/src/sandladder/agents/lease_renewal_guard.py
@@ -6,11 +6,12 @@
 less than `cancel_s - lease_s` ago.  The answer stops the tasks of the cancellations that it knows;
 all others were confirmed later, and the lease expires in time for them.
 
-That time is when the latest store read was *sent*.  During a store outage the heartbeats of the
-other controllers advance it: each heartbeat lists the cancelled jobs that its sender knows and
-acknowledges the latest clock reading received from this controller, so it was made after that
-reading.  A silent controller advances nothing, and neither does a process whose first heartbeat
-arrived after the store read: its heartbeats lack the cancellations that its predecessor confirmed.
+All cancellations are known up to the time when the latest store read was *sent*.  During a store
+outage the heartbeats of the other controllers advance that time: each heartbeat lists the cancelled
+jobs that its sender knows and acknowledges the latest clock reading received from this controller,
+so it was made after that reading.  A silent controller does not advance the time.  Neither does a
+process whose first heartbeat arrived after the store read, because its heartbeats lack the
+cancellations that its predecessor confirmed.
 
 All times are in seconds on this controller's steady clock.  Performs no I/O and reads no clock.
 """
@@ -109,8 +110,9 @@
 
         Args:
             now: the current time.
-            late_start_cancellations_known_until: the time up to which cancellations were known when
-                a start was sent that may still be delivered to the agent; infinite without one.
+            late_start_cancellations_known_until: if a start may still be delivered to the agent,
+                the time up to which all cancellations were known when it was sent; infinite
+                otherwise.
         """
         known_until = min(self.cancellations_known_until(), late_start_cancellations_known_until)
         return now - known_until <= self._max_age_s
--- a/src/sandladder/agents/reconciler.py
+++ b/src/sandladder/agents/reconciler.py
@@ -51,7 +51,8 @@
     ) -> HeartbeatResult:
         """Process a heartbeat; `direct` marks the response to a direct command.
 
-        A heartbeat older than the latest known one is ignored, as its task list is outdated.
+        A heartbeat that is not newer than the latest known one is ignored, because its task list
+        may be outdated.
         """
         agent = self.agents.get(heartbeat.machine)
         if agent is None:
@@ -187,13 +188,16 @@
 
 
 def _command_for(key: AttemptKey, agent: AgentSession, grace_s: float | None) -> Command | None:
-    """Return the command for a committed attempt; `grace_s` None means that it should run."""
+    """Return the command for a committed attempt, or None.
+
+    `grace_s` is the grace period of a requested stop, or None if the attempt should run.
+    """
     reported = agent.reported_tasks.get(key)
     if reported is None:
         if grace_s is not None:
             return Command(STOP, *key, grace_s=grace_s)
-        # An attempt that was reported before was forgotten by command of a controller that had
-        # committed its end; another start would run it twice.
+        # If the agent reported the attempt before, it has forgotten it on command of a controller
+        # that had committed the end; another start would run the attempt twice.
         return None if key in agent.seen_attempts else Command(START, *key)
     if grace_s is None or reported.state == TASK_EXITED:
         return None
