--- a/src/sandladder/autoscaling/autoscaler.py
+++ b/src/sandladder/autoscaling/autoscaler.py
@@ -28,11 +28,12 @@
 
 log = logging.getLogger(__name__)
 
-# Limits on the frequency of rounds: the heartbeat interval and the cloud's request rate.
+# Limits on the frequency of rounds: the number per heartbeat interval, and the number of requests
+# that the cloud's rate limit must allow between two rounds.
 _ROUNDS_PER_HEARTBEAT_INTERVAL, _CLOUD_REQUESTS_PER_ROUND = 3, 2
-# The autoscaler lease's time to live is the worker lease divided by this.
-_LEASE_TTLS_PER_WORKER_LEASE = 3
-# Interval between reads of the cloud's catalog, in worker leases.
+# The autoscaler lease's time to live is the agent lease divided by this.
+_LEASE_TTLS_PER_AGENT_LEASE = 3
+# Interval between reads of the cloud's catalog, in agent leases.
 _CATALOG_INTERVAL_LEASES = 2
 # Interval between writes of records that are not urgent, in heartbeat intervals.
 _WRITE_INTERVAL_HEARTBEATS = 2
@@ -100,7 +101,7 @@
         )
         self._lease = AutoscalerLease(
             settings.node,
-            workers.lease_s / _LEASE_TTLS_PER_WORKER_LEASE,
+            workers.lease_s / _LEASE_TTLS_PER_AGENT_LEASE,
             cache,
             store,
             committer,
--- a/src/sandladder/autoscaling/controller_status.py
+++ b/src/sandladder/autoscaling/controller_status.py
@@ -11,8 +11,8 @@
     Attributes:
         records_loaded: returns whether the cache has completed its first read of the store.
         lease_alive: returns whether the controller's own lease in the store is certainly valid.
-        isolated: returns whether, at a time on the steady clock, this controller has lost contact
-            with all of several agents while other controllers still receive heartbeats.
+        isolated: returns whether, at a time on the steady clock, this controller has stopped
+            receiving heartbeats from agents while other controllers still receive them.
         uptime_s: returns the controller's uptime in seconds at a time on the steady clock.
         fencing_token: returns the controller's current fencing token.
         wall_clock_s: returns the time of day, in seconds.
--- a/src/sandladder/autoscaling/demand.py
+++ b/src/sandladder/autoscaling/demand.py
@@ -60,15 +60,15 @@
 
     def usual_cores_that_cannot_wait(self) -> float:
         """Return the usual demand, in cores, of work that cannot wait for a boot."""
-        return _usual([sample.cannot_wait for sample in self._samples])
+        return _usual_demand([sample.cannot_wait for sample in self._samples])
 
     def usual_cores(self) -> float:
         """Return the usual demand, in cores, of all work."""
-        return _usual([sample.total for sample in self._samples])
+        return _usual_demand([sample.total for sample in self._samples])
 
 
-def _usual(cores: list[float]) -> float:
-    """Return the usual-demand quantile of the samples, or 0 if there are none."""
+def _usual_demand(cores: list[float]) -> float:
+    """Return the quantile of the samples that counts as usual, or 0 if there are none."""
     cores.sort()
     return cores[int(len(cores) * _USUAL_DEMAND_QUANTILE)] if cores else 0.0
 
@@ -93,7 +93,7 @@
     Args:
         history: the recent demand.
         provisioned_cores: the cores of usable and booting machines.
-        latest_specs: the latest job of each class.
+        latest_specs: the spec of the latest job of each class.
     """
     spot_specs = [spec for spec in latest_specs if spec.spot]
     if not spot_specs:
--- a/src/sandladder/autoscaling/headroom.py
+++ b/src/sandladder/autoscaling/headroom.py
@@ -8,7 +8,7 @@
 from sandladder.model import JobSpec
 from sandladder.scheduling import Shortage, ZoneQuota, pack
 
-# Classes whose start objective exceeds this number of worker leases get no headroom.
+# Classes whose start objective exceeds this number of agent leases get no headroom.
 _MAX_START_OBJECTIVE_LEASES = 2
 # Factor on the headroom of classes whose start objective allows for a boot.
 _BOOT_IN_TIME_FACTOR = 0.5
@@ -21,8 +21,8 @@
     """
     cluster_view = inputs.cluster_view
     shortages = []
-    for cls, class_history in history.classes():
-        start_within_s = inputs.objectives.start_within_s.get(cls)
+    for job_class, class_history in history.classes():
+        start_within_s = inputs.objectives.start_within_s.get(job_class)
         if start_within_s is None or start_within_s > _MAX_START_OBJECTIVE_LEASES * inputs.lease_s:
             continue
         spec = class_history.latest
--- a/src/sandladder/autoscaling/instance_reconciler.py
+++ b/src/sandladder/autoscaling/instance_reconciler.py
@@ -12,14 +12,15 @@
 
 log = logging.getLogger(__name__)
 
-# Reads of the cloud's list per list lag, the maximum staleness of the list.
+# Reads of the cloud's list per list lag, the nominal staleness of the list.
 _LISTS_PER_LAG = 3
 # List lags for which a machine must be missing before its instance counts as gone.  A list may be
 # older than the previous one, by up to twice the lag.
 _MISSING_LAGS = 2.5
 # Retention of a gone instance's record and of a machine's last listing time, in list lags.
 _RECORD_RETENTION_LAGS, _LISTING_RETENTION_LAGS = 6, 10
-# Obsolete records are removed without waiting for other changes above this share of a chunk.
+# If more than this share of a chunk is obsolete, the records are removed without waiting for other
+# changes.
 _REMOVAL_CHUNK_SHARE = 0.25
 
 
@@ -39,7 +40,7 @@
             cache: the records and machine types.
             cloud: provides the list of machines.
             records: writes the changes.
-            list_lag_s: the maximum staleness of the cloud's list, in seconds.
+            list_lag_s: the nominal staleness of the cloud's list, in seconds.
         """
         self._cache = cache
         self._cloud = cloud
--- a/src/sandladder/autoscaling/instance_records.py
+++ b/src/sandladder/autoscaling/instance_records.py
@@ -20,7 +20,7 @@
 
 # The share of a stored value that instances fill; the rest is for their common fields.
 _CHUNK_FILL_SHARE = 0.9
-# Maximum number of stored values that a chunk takes, when values are short.
+# Maximum number of stored values that a chunk is split into if the store allows only short values.
 _MAX_VALUES_PER_CHUNK = 4
 
 
--- a/src/sandladder/autoscaling/machine_types.py
+++ b/src/sandladder/autoscaling/machine_types.py
@@ -46,7 +46,7 @@
             PreconditionFailedError: the record cannot be written.
         """
         if not self._cache.fencing_token:
-            return  # the first controller to get a fencing token sets the schema version
+            return  # keeps a new store empty until the first controller sets its schema version
         due = is_autoscaler and clock.now() >= self._next_read_at
         if self._cache.machine_types and not due:
             return
--- a/src/sandladder/autoscaling/provisioned_capacity.py
+++ b/src/sandladder/autoscaling/provisioned_capacity.py
@@ -7,7 +7,8 @@
 from sandladder.model import Machine
 from sandladder.scheduling import Bin, ClusterView, FreeCapacity
 
-# A boot longer than this multiple of the type's boot time no longer counts as capacity.
+# An instance that has been booting for longer than this multiple of its type's boot time does not
+# count as capacity.
 _MAX_BOOT_FACTOR = 2.5
 
 
--- a/src/sandladder/autoscaling/scale_in.py
+++ b/src/sandladder/autoscaling/scale_in.py
@@ -120,7 +120,7 @@
 
 
 class UnderutilizedMachines:
-    """Tracks the time since which services have underutilized each machine."""
+    """Tracks the time since which each machine with services has been underutilized."""
 
     def __init__(self, cluster_view: ClusterView) -> None:
         self._cluster_view = cluster_view
--- a/src/sandladder/autoscaling/scaling_inputs.py
+++ b/src/sandladder/autoscaling/scaling_inputs.py
@@ -8,15 +8,15 @@
 from sandladder.config import Settings
 from sandladder.scheduling import Bin, ClusterView
 
-# Allowed delay of work without an objective, in worker leases.
+# Allowed delay of work without an objective, in agent leases.
 _DEFAULT_ALLOWED_DELAY_LEASES = 10
 
 
 class StartObjectives(NamedTuple):
-    """The objectives that determine how late a class's tasks may start; times in seconds."""
+    """The objectives that determine how late tasks may start, by job class; times in seconds."""
 
-    start_within_s: dict[str, float]  # for the tasks of a class
-    finish_within_s: dict[str, list[float]]  # for the jobs of a class
+    start_within_s: dict[str, float]  # limits on the start of the tasks
+    finish_within_s: dict[str, list[float]]  # limits on the completion of the jobs
     default_delay_s: float  # allowed delay of work without an objective
 
     @staticmethod
@@ -42,7 +42,7 @@
 
     @property
     def lease_s(self) -> float:
-        """The worker lease, in seconds."""
+        """The agent lease, in seconds."""
         return self.cluster_view.settings.platform.deployment.workers.lease_s
 
     @property
--- a/src/sandladder/autoscaling/scaling_policy.py
+++ b/src/sandladder/autoscaling/scaling_policy.py
@@ -38,7 +38,7 @@
 
 log = logging.getLogger(__name__)
 
-# Span of the demand history, in worker leases.
+# Span of the demand history, in agent leases.
 _DEMAND_HISTORY_LEASES = 4
 
 
