--- a/src/sandladder/api/answers.py
+++ b/src/sandladder/api/answers.py
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True)
 class Refusal(Answer):
-    """An answer that the request had no effect, with the reason.
+    """An answer with the reason why the request had no effect.
 
     Attributes:
         reason: the reason as text for users.
--- a/src/sandladder/api/cancellation.py
+++ b/src/sandladder/api/cancellation.py
@@ -56,10 +56,10 @@
         self._timeout_s = timeout_s
 
     async def cancel(self, job_id: str) -> Answer:
-        """Cancel a job and answer with its state, or with a retry if it cannot be cancelled now.
+        """Cancel a job and return its state, or `RetryLater` if it cannot be cancelled now.
 
         If this call is cancelled during the commit, the job may still be cancelled; a retry of the
-        request shows it.
+        request returns its state.
 
         Raises:
             StoreRequestError: the records cannot be read or changed now.
--- a/src/sandladder/api/health.py
+++ b/src/sandladder/api/health.py
@@ -10,9 +10,9 @@
 class HealthCheck:
     """Determines whether this controller can serve users' requests.
 
-    It can once it has read the records and knows the machine types.  If it cannot reach the
-    key-value store, it is unhealthy only while a peer can: in a full store outage all controllers
-    stay healthy.
+    A controller is healthy once it has read the records and knows the machine types.  If it cannot
+    reach the key-value store, it is unhealthy only while a peer can reach it, so in a full store
+    outage all controllers stay healthy.
     """
 
     def __init__(
--- a/src/sandladder/api/job_api.py
+++ b/src/sandladder/api/job_api.py
@@ -48,7 +48,7 @@
         return await self._forwarder.serve(request, self.serve_locally)
 
     async def serve_locally(self, request: Request) -> Response:
-        """Answer a user's request, sent here or forwarded by a peer, at this controller.
+        """Answer a user's request at this controller; a peer may have forwarded it here.
 
         Errors and cancellation are those of `handle`.
         """
--- a/src/sandladder/api/submission.py
+++ b/src/sandladder/api/submission.py
@@ -73,7 +73,7 @@
         """Check and commit a submission, notify the team's controller and return the answer.
 
         If this call is cancelled during the commit, the job may still be accepted; a retry of the
-        request shows it.
+        request returns its state.
 
         Raises:
             StoreRequestError: the records cannot be read or changed now.
--- a/src/sandladder/controller/change_handler.py
+++ b/src/sandladder/controller/change_handler.py
@@ -1,4 +1,4 @@
-"""Reactions to changed records: new evidence, revalidated premises, commands to agents."""
+"""Reactions to changed records: updated state, revalidated premises, commands to agents."""
 
 import logging
 from collections.abc import Iterable
--- a/src/sandladder/controller/planning_loop.py
+++ b/src/sandladder/controller/planning_loop.py
@@ -87,7 +87,7 @@
         self._wall_clock = wall_clock
 
     async def run(self) -> None:
-        """Plan on request and when a planned time comes, until cancelled."""
+        """Plan until cancelled: on request, periodically, and when time may change the plan."""
         while True:
             await self._triggers.due.wait(min(self._report_s, self._planner.next_change_s))
             if not self._may_plan():
@@ -143,7 +143,7 @@
         self._background.start_soon(self._notify_after_stop, change, victim)
 
     async def _notify_after_stop(self, change: PendingChange, victim: PreemptionVictim) -> None:
-        """Notify the controller that commands the machine when the stop is committed."""
+        """Wait for the commit of the stop, then notify the machine's reporting controller."""
         try:
             await change.wait()
         except PreconditionFailedError as rejection:
