--- a/tests/plays.py
+++ b/tests/plays.py
@@ -165,7 +165,9 @@
 def _cancelled_at_handover(number: int, count: int) -> None:
     import test_cancelled_during_reassignment as tests
 
-    tests.test_jobs_cancelled_while_teams_are_reassigned(tests.REASSIGNMENT_CAUSES[number], count)
+    tests.test_cancelled_tasks_end_during_a_reassignment_of_teams(
+        tests.REASSIGNMENT_CAUSES[number], count
+    )
 
 
 def _late_transaction(kind: str) -> None:
--- a/tests/test_cancel_during_outage.py
+++ b/tests/test_cancel_during_outage.py
@@ -1,4 +1,4 @@
-"""Cancellations while the store refuses only the leader, then all for longer than `cancel_s`.
+"""Cancellations while the store refuses the leader and then fails for longer than `cancel_s`.
 
 Another controller confirms the cancellations while workers still send heartbeats to the old leader.
 The tasks of these jobs must still end within `cancel_s`.
--- a/tests/test_cancelled.py
+++ b/tests/test_cancelled.py
@@ -52,7 +52,7 @@
 
 @pytest.mark.parametrize("count", [3, 7])
 @pytest.mark.parametrize("partitioned", [False, True], ids=["connected", "partitioned"])
-def test_cancelled_as_the_store_refuses_the_leader_just_before_an_outage(
+def test_cancelled_tasks_end_when_the_store_refuses_the_leader_just_before_an_outage(
     partitioned: bool, count: int
 ) -> None:
     """The store refuses only the leader; a second later it fails for longer than `cancel_s`."""
@@ -97,7 +97,7 @@
 
 @pytest.mark.parametrize("count", [3, 7])
 @pytest.mark.parametrize("mode", ["drop", "hold"])
-def test_cancelled_through_others_while_the_leader_is_partitioned_with_its_workers(
+def test_tasks_cancelled_through_others_end_while_the_leader_is_partitioned_with_its_workers(
     mode: str, count: int
 ) -> None:
     """The leader loses the store and the other controllers, but not its workers and users."""
@@ -137,7 +137,7 @@
 
 
 @pytest.mark.parametrize("fault", ["none", "the leader changes", "outage", "a restart after"])
-def test_cancelled_while_workers_reach_no_controller(fault: str) -> None:
+def test_cancelled_tasks_end_while_workers_reach_no_controller(fault: str) -> None:
     """Heartbeats are lost; workers report status only in responses to direct commands."""
     faults = ["none", "the leader changes", "outage", "a restart after"]
     cluster = SimulatedCluster(1080 + faults.index(fault), cancel_s=CANCEL_S)
--- a/tests/test_cancelled_during_reassignment.py
+++ b/tests/test_cancelled_during_reassignment.py
@@ -182,7 +182,9 @@
 
 @pytest.mark.parametrize("count", [3, 7])
 @pytest.mark.parametrize("cause", REASSIGNMENT_CAUSES, ids=lambda cause: cause.__name__)
-def test_jobs_cancelled_while_teams_are_reassigned(cause: ReassignmentCause, count: int) -> None:
+def test_cancelled_tasks_end_during_a_reassignment_of_teams(
+    cause: ReassignmentCause, count: int
+) -> None:
     """Cancel before, during and after the commits, with starts pending and in flight."""
     cluster = SimulatedCluster(1010 + REASSIGNMENT_CAUSES.index(cause), count, cancel_s=CANCEL_S)
 
--- a/tests/test_read_consistency.py
+++ b/tests/test_read_consistency.py
@@ -100,7 +100,7 @@
 
 
 @pytest.mark.parametrize("seed", [920, 921])
-def test_a_cancellation_races_with_the_end_of_the_last_task(seed: int) -> None:
+def test_a_cancellation_that_races_with_the_end_of_the_last_task_has_one_outcome(seed: int) -> None:
     """Status queries and repeated submissions are sent at the same time."""
     cluster = SimulatedCluster(seed, cancel_s=CANCEL_S)
     cluster.cancel_at_end_share, cluster.concurrent_read_share = 0.6, 1.0
@@ -203,13 +203,13 @@
     cluster: SimulatedCluster, method: str, path: str, body: Any = None
 ) -> list[tuple[int, str | None]]:
     """Return the status code from each node, and the job's state if the answer has one."""
-    found: list[tuple[int, str | None]] = []
+    received: list[tuple[int, str | None]] = []
     for node in range(cluster.count):
         answer = await cluster.ask(method, path, body, node)
         standing = cbor2.loads(answer.body).get("standing") if answer.status in (200, 201) else None
         assert answer.status != 503 or answer.retry_after, "a 503 needs Retry-After"
-        found.append((answer.status, standing))
-    return found
+        received.append((answer.status, standing))
+    return received
 
 
 async def check_invalid_requests(
@@ -217,9 +217,9 @@
 ) -> None:
     """Send invalid and repeated requests to all nodes; allow 503 if `records_unreadable`."""
 
-    def allow(found: list[tuple[int, str | None]], *wanted: tuple[int, str | None]) -> None:
-        allowed = {*wanted, (503, None)} if records_unreadable else set(wanted)
-        assert set(found) <= allowed, (found, wanted)
+    def allow(received: list[tuple[int, str | None]], *expected: tuple[int, str | None]) -> None:
+        allowed = {*expected, (503, None)} if records_unreadable else set(expected)
+        assert set(received) <= allowed, (received, expected)
 
     number = cluster.rng.randrange(500_000, 900_000)
     for fields, status in [(f, 400) for f in MALFORMED] + [(f, 422) for f in NEVER_RUNNABLE]:
@@ -294,13 +294,13 @@
     deadline = now() + 4.0
     while now() < deadline:
         spec = job(777)
-        found = await statuses(cluster, "POST", "/work", spec)
-        assert {status for status, _ in found} <= {503}, found
-        found = await statuses(cluster, "POST", "/work", spec | {"vcpus": 500.0})
-        assert {status for status, _ in found} <= {503}, found
+        received = await statuses(cluster, "POST", "/work", spec)
+        assert {status for status, _ in received} <= {503}, received
+        received = await statuses(cluster, "POST", "/work", spec | {"vcpus": 500.0})
+        assert {status for status, _ in received} <= {503}, received
         incomplete = {k: v for k, v in spec.items() if k != "rank"}
-        found = await statuses(cluster, "POST", "/work", incomplete)
-        assert {status for status, _ in found} <= {400, 503}, found
+        received = await statuses(cluster, "POST", "/work", incomplete)
+        assert {status for status, _ in received} <= {400, 503}, received
         cluster.observed["asked before the machine types are known"] += 1
         await anyio.sleep(0.5)
     assert cluster.observed["asked before the machine types are known"]
