--- a/src/sandladder/autoscaling/waiting_work.py
+++ b/src/sandladder/autoscaling/waiting_work.py
@@ -67,7 +67,7 @@
     quota_left = quota_headroom(cluster_view.team_limits.get(spec.team), usage)
     count = quota_left.tasks_within(spec, job.waiting)
     usage_by_team[spec.team] = usage.plus(spec, count)
-    zones = ZoneQuota.of(job)
+    zones = ZoneQuota.for_job(job)
     if spec.one_zone and zones is None and count:
         zones = single_zone_quota(inputs, spec, count)
     return _WaitingJob(job, count, cluster_view.can_wait_for_boot(job), zones)
--- a/src/sandladder/scheduling/bin_packing.py
+++ b/src/sandladder/scheduling/bin_packing.py
@@ -64,7 +64,7 @@
         self._only_zone = only_zone
 
     @staticmethod
-    def of(job: Job) -> "ZoneQuota | None":
+    def for_job(job: Job) -> "ZoneQuota | None":
         """Return the limits for the waiting tasks of a job, or None if any zone may take them."""
         zone_counts = Counter(attempt.zone for attempt in job.live.values())
         if job.spec.spread:
