--- a/src/sandladder/autoscaling/scale_out.py
+++ b/src/sandladder/autoscaling/scale_out.py
@@ -114,7 +114,7 @@
 def _offers(machine_type: MachineType, shortage: Shortage) -> Iterator[tuple[Offer, float]]:
     """Iterate over the offers of a type that may cover a shortage, with their hourly prices."""
     spec, zones = shortage.spec, shortage.zones
-    markets = [True] * spec.spot + [False] * (shortage.ordinary_allowed or not spec.spot)
+    markets = [True] * spec.spot + [False] * (shortage.on_demand_allowed or not spec.spot)
     for spot in markets:
         price = hourly_price(machine_type, spot)
         if price <= 0:
--- a/src/sandladder/autoscaling/scaling_policy.py
+++ b/src/sandladder/autoscaling/scaling_policy.py
@@ -151,5 +151,5 @@
 
 def _log_shortages(shortages: list[Shortage]) -> None:
     for shortage in shortages:
-        markets = ", on-demand instances allowed" if shortage.ordinary_allowed else ""
+        markets = ", on-demand instances allowed" if shortage.on_demand_allowed else ""
         log.debug("%d tasks of %s lack capacity%s", shortage.tasks, shortage.spec.id, markets)
--- a/src/sandladder/scheduling/bin_packing.py
+++ b/src/sandladder/scheduling/bin_packing.py
@@ -88,7 +88,7 @@
     """Tasks for which there is no capacity."""
 
     spec: JobSpec
-    ordinary_allowed: bool  # an ordinary machine may be rented for them
+    on_demand_allowed: bool  # an on-demand machine may be rented for them
     tasks: int
     zones: ZoneQuota | None = None  # None: any zone may take them
 
