--- a/src/sandladder/controller/services.py
+++ b/src/sandladder/controller/services.py
@@ -182,7 +182,7 @@
         reporting_agents = ReportingAgents(
             self.lease_expiry,
             self.reconciler,
-            self.cluster_view.images.names,
+            self.cluster_view.images.cached_images,
             self._advance_time,
         )
         self.controller_lease = ControllerLease(
--- a/src/sandladder/scheduling/image_cache_index.py
+++ b/src/sandladder/scheduling/image_cache_index.py
@@ -56,7 +56,7 @@
             return None
         return max(0.0, cached[image].fetched_at - now)
 
-    def names(self, machine: str, agent_epoch: int) -> list[str]:
+    def cached_images(self, machine: str, agent_epoch: int) -> list[str]:
         """Return the images of a machine, the most recently used last."""
         return list(self._cached.get((machine, agent_epoch), ()))
 
