--- a/src/sandladder/jobs/end_announcer.py
+++ b/src/sandladder/jobs/end_announcer.py
@@ -13,7 +13,7 @@
 
 log = logging.getLogger(__name__)
 
-# How long the assignee has to commit an end before this controller does, in `max_wait_s`.
+# The time after which this controller commits an end instead of the assignee, in `max_wait_s`.
 _ASSIGNEE_TIMEOUT_WAITS = 3
 
 Commit = Callable[[EndedAttempt], None]
@@ -23,7 +23,7 @@
     """An attempt's end that this controller has proved."""
 
     proved_at: float  # on the steady clock, in seconds
-    assignee: str  # the controller that was last told to commit it
+    assignee: str  # the controller last notified to commit it
 
 
 class EndAnnouncer:
@@ -80,7 +80,7 @@
                 self._release_capacity(ended)
                 first_proved.append(_end_message(ended))
             elif proved_end.assignee != assignee:
-                # The team was reassigned: the new assignee has not been told to commit this end.
+                # The team was reassigned, and the new assignee has not been notified of this end.
                 self._proved[key] = ProvedEnd(proved_end.proved_at, assignee)
                 reassigned.setdefault(assignee, []).append(_end_message(ended))
             # This controller commits an end that its assignee does not commit in time.
@@ -139,7 +139,7 @@
 
 
 def _end_message(ended: EndedAttempt) -> peer_transport.EndedTask:
-    """Return the message that tells peers of an end."""
+    """Return the message that notifies peers of an end."""
     attempt = ended.attempt
     return peer_transport.EndedTask(
         job=ended.job,
--- a/src/sandladder/jobs/job_committer.py
+++ b/src/sandladder/jobs/job_committer.py
@@ -233,8 +233,8 @@
     def _handle_commit(self, job_id: str) -> None:
         """Withdraw the committed starts from the gate and notify the controllers concerned.
 
-        Called before the cache contains the commit, which itself invalidates the premises of these
-        starts.
+        Called before the cache contains the commit; once it does, the premises of these starts
+        fail.
         """
         released = self._released.get(job_id, [])
         self._starts.withdraw(released)
--- a/src/sandladder/jobs/starts.py
+++ b/src/sandladder/jobs/starts.py
@@ -128,7 +128,8 @@
     Args:
         transaction: the transaction to add the change to.
         job_id: the ID of the dependent job.
-        max_dependencies: the most to remove; the store limits the conditions of a transaction.
+        max_dependencies: the maximum number to remove, as the store limits the conditions of a
+            transaction.
 
     Returns:
         Whether any dependency was removed.
--- a/src/sandladder/scheduling/__init__.py
+++ b/src/sandladder/scheduling/__init__.py
@@ -5,9 +5,9 @@
 All of it is in-memory state, derived from the state cache, inventories and heartbeats.
 
 In each round, `Planner.plan` places waiting tasks and admits pending starts to the `Gate`, which
-revalidates them when the view changes and once more before the commit.  `pack` tells autoscaling
-how many tasks fit into given machines.  Nothing here does I/O, reads a clock, writes a record or
-sends a command, and no decision is final: `sandladder.jobs` commits it.
+revalidates them when the view changes and once more before the commit.  `pack` counts, for
+autoscaling, the tasks that fit into given machines.  Nothing here does I/O, reads a clock, writes a
+record or sends a command.  No decision is final until `sandladder.jobs` commits it.
 """
 
 from sandladder.scheduling.bin_packing import Backlog, Bin, Shortage, ZoneQuota, pack
--- a/src/sandladder/scheduling/bin_packing.py
+++ b/src/sandladder/scheduling/bin_packing.py
@@ -24,7 +24,7 @@
         Args:
             spec: the job.
             limit: the most tasks to count.
-            keep_gpus: whether the cores and memory that belong to free GPUs stay unused.
+            keep_gpus: whether the GPU share stays unused (see `GpuProtection`).
         """
         cpus, memory_gb = self.cpus, self.memory_gb
         if keep_gpus and self.gpus > 0:
@@ -121,9 +121,9 @@
         count: the most tasks to pack.
         bins: the machines, filled in this order.
         spot_only: whether only spot machines are used.
-        zones: the number of tasks that each zone may take, or None for any number.  Free capacity
-            in a zone that may take no more must not count as usable.
-        keep_gpus: whether the cores and memory that belong to free GPUs stay unused.
+        zones: the number of tasks that each zone may take, or None for any number.  Prevents the
+            use of free capacity in a zone whose limit is reached.
+        keep_gpus: whether the GPU share stays unused (see `GpuProtection`).
 
     Returns:
         The number of packed tasks.
--- a/src/sandladder/scheduling/candidates.py
+++ b/src/sandladder/scheduling/candidates.py
@@ -12,12 +12,12 @@
 
 
 class _Candidates:
-    """The machines that can take a task with given requirements, with its usable capacity."""
+    """The machines that can take a task with given requirements, and the capacity free for it."""
 
     def __init__(self, job: Job, cluster_view: ClusterView) -> None:
         self._spec = job.spec
         self._spot_only = cluster_view.can_wait_for_boot(job)
-        self._excludes_gpu_share = cluster_view.gpu_protection.keeps_gpus_free(job)
+        self._excludes_gpu_share = cluster_view.gpu_protection.must_leave_gpu_share(job)
         self._types = cluster_view.cache.machine_types
         self.capacities: dict[str, FreeCapacity] = {}
 
@@ -43,14 +43,14 @@
     def __init__(self, capacities: dict[str, FreeCapacity], cluster_view: ClusterView) -> None:
         self._capacities = capacities
         self._cluster_view = cluster_view
-        # By requirements, and whether the cores and memory of free GPUs are excluded.
+        # By requirements, and whether the GPU share is excluded (see `GpuProtection`).
         self._candidates: dict[tuple[PlacementRequirements, bool], _Candidates] = {}
 
     def machines_for(self, job: Job) -> dict[str, FreeCapacity]:
         """Return the machines that can take a task of a job, with the capacity free for it."""
         cluster_view = self._cluster_view
         requirements = placement_requirements(job.spec, cluster_view.can_wait_for_boot(job))
-        key = requirements, cluster_view.gpu_protection.keeps_gpus_free(job)
+        key = requirements, cluster_view.gpu_protection.must_leave_gpu_share(job)
         candidates = self._candidates.get(key)
         if candidates is None:
             candidates = self._candidates[key] = _Candidates(job, cluster_view)
@@ -100,11 +100,11 @@
             self._candidates.update(self._hidden.pop(machine))
 
     def _withheld_from(self, job: Job, reserved: dict[str, frozenset[str]]) -> set[str]:
-        """Return the machines reserved for other jobs with an equal or higher claim."""
+        """Return the machines reserved for other jobs of equal or higher precedence."""
         jobs, order_key = self._cluster_view.cache.jobs, self._cluster_view.order_key
-        claim = order_key(job)[:2]
+        precedence = order_key(job)[:2]  # the lowest value comes first
         withheld: set[str] = set()
         for job_id, machines in reserved.items():
-            if job_id != job.id and claim >= order_key(jobs[job_id])[:2]:
+            if job_id != job.id and precedence >= order_key(jobs[job_id])[:2]:
                 withheld |= machines
         return withheld
--- a/src/sandladder/scheduling/cluster_view.py
+++ b/src/sandladder/scheduling/cluster_view.py
@@ -34,8 +34,8 @@
 from sandladder.scheduling.view_time import ViewTime
 from sandladder.state import JOB_PREFIX, TEAM_PREFIX, StateCache
 
-# The scheduling order: negated priority, 0 within the team's guarantee or else 1, latest start.  A
-# plain tuple, which sorts faster than a named one.
+# The sort key of the scheduling order: negated priority; 0 within the team's guarantee, else 1;
+# latest start.  The first two are a job's precedence.  A plain tuple sorts faster than a named one.
 OrderKey = tuple[int, int, float]
 
 
@@ -142,14 +142,14 @@
         """Drop the state of machines no longer observed and of jobs no longer live."""
         for machine in self.observations.forget_missing():
             self.free_capacities.observation_changed(machine)
-        known = (
+        retained = (
             self.observations.machines()
             | self.cache.instances.keys()
             | self.cache.attempts_by_machine.keys()
         )
-        self.images.retain(known)
-        self.free_capacities.forget_missing(known)
-        self._machine_versions = {m: v for m, v in self._machine_versions.items() if m in known}
+        self.images.retain(retained)
+        self.free_capacities.forget_missing(retained)
+        self._machine_versions = {m: v for m, v in self._machine_versions.items() if m in retained}
         self.priorities.forget_finished()
         self.gpu_protection.forget_finished()
 
@@ -175,9 +175,9 @@
     def note_start(self, spec: JobSpec, attempt: Attempt) -> None:
         """Record a committed start, whose machine has or fetches the job's image."""
         self.gpu_protection.note_start(spec.id)
-        known = self.cache.instances.get(attempt.machine)
+        instance = self.cache.instances.get(attempt.machine)
         observation = self.observations.get(attempt.machine)
-        name = observation.status.type if observation else known.type if known else ""
+        name = observation.status.type if observation else instance.type if instance else ""
         kind = self.cache.machine_types.get(name)
         if kind is not None:
             self.images.note_start(spec, attempt, kind, self.now)
@@ -188,17 +188,17 @@
             self.machine_changed(item.attempt.machine)
 
     def avoid_machine(self, machine: str, for_s: float) -> None:
-        """Give a machine no work for some seconds, because it refused a start that should fit.
+        """Exclude a machine for some seconds from placement, as it refused a start that should fit.
 
-        Something unknown uses its capacity, and it would be chosen again and again.
+        Otherwise a machine whose capacity is used by an unknown process would be chosen repeatedly.
         """
         self.free_capacities.avoid_machine(machine, self.now + for_s)
 
     def avoid_controllers(self, reporting_controllers: frozenset[str]) -> None:
-        """Give no work to machines that report to these controllers, which replace earlier ones.
+        """Exclude the machines that report to these controllers; replaces the previous set.
 
         The controllers are unreachable or cannot receive starts.  Without this, tasks would be
-        placed behind a network partition until the observations of its machines are stale.
+        placed behind a network partition until the observations of the machines there are stale.
         """
         changed = self.free_capacities.avoid_controllers(reporting_controllers)
         if changed:
@@ -252,7 +252,7 @@
         return self.cache.dependency_index.finished_job(job_id)
 
     def version(self, resource: Resource) -> int:
-        """Return a number that differs after each change of a resource."""
+        """Return the version of a resource, a number that each change of the resource alters."""
         kind, name = resource
         if kind == "machine":
             return self._machine_versions.get(name, 0)
--- a/src/sandladder/scheduling/free_capacity.py
+++ b/src/sandladder/scheduling/free_capacity.py
@@ -25,7 +25,7 @@
         return fits(spec, self.cpus, self.gpus, self.memory_gb)
 
     def minus(self, spec: JobSpec) -> "FreeCapacity":
-        """Return the free capacity with one more task of a job."""
+        """Return the free capacity after one more task of a job is placed."""
         return self._replace(
             cpus=self.cpus - spec.cpus,
             gpus=self.gpus - spec.gpus,
@@ -33,7 +33,7 @@
         )
 
     def without_gpu_share(self, kind: MachineType) -> "FreeCapacity":
-        """Return the free capacity without the cores and memory that belong to free GPUs."""
+        """Return the free capacity without the GPU share (see `GpuProtection`)."""
         if self.gpus <= 0 or kind.gpus <= 0:
             return self
         share = self.gpus / kind.gpus
@@ -44,7 +44,7 @@
 
 
 class MachineOffer(NamedTuple):
-    """A type of machine offered in a zone, as spot or ordinary machines."""
+    """A type of machine offered in a zone, as spot or on-demand machines."""
 
     type: str
     zone: str
@@ -53,7 +53,7 @@
 
 @functools.lru_cache(maxsize=1024)
 def machine_offer(type_name: str, zone: str, spot: bool) -> MachineOffer:
-    """Return a shared offer object, as each scaling round looks one up for every machine."""
+    """Return a cached offer; each scaling round looks one up for every machine."""
     return MachineOffer(type_name, zone, spot)
 
 
--- a/src/sandladder/scheduling/free_capacity_index.py
+++ b/src/sandladder/scheduling/free_capacity_index.py
@@ -80,7 +80,7 @@
         return capacity
 
     def usable(self, min_cpus: float = 0.0) -> dict[str, FreeCapacity]:
-        """Return the usable machines with at least a number of free cores."""
+        """Return the usable machines with at least `min_cpus` free cores."""
         capacities = {}
         now, cache = self._time.now, self._cached
         min_cpus -= EPSILON
@@ -127,7 +127,7 @@
         return cpus, gpus, memory_gb
 
     def _usable(self, machine: str, observation: MachineObservation) -> tuple[bool, float]:
-        """Return whether a machine can be given work, and until when that holds."""
+        """Return whether a machine can be given work, and the time until which that is valid."""
         status = observation.status
         instance = self._cache.instances.get(machine)
         eligible = (
@@ -138,7 +138,7 @@
         )
         if not eligible:
             return False, math.inf
-        # The result depends on the time from here on.
+        # The checks below depend on the current time.
         now = self._time.now
         avoided_until = self._avoided_until.get(machine, -math.inf)
         stale_at = self._observations.stale_at(observation)
@@ -186,12 +186,12 @@
         return True
 
     def avoid_machine(self, machine: str, until: float) -> None:
-        """Give a machine no work until a time on the steady clock."""
+        """Exclude a machine from placement until a time on the steady clock."""
         self._avoided_until[machine] = until
         self._cached.pop(machine, None)
 
     def avoid_controllers(self, controllers: frozenset[str]) -> frozenset[str]:
-        """Give no work to machines that report to these controllers, which replace earlier ones.
+        """Exclude the machines that report to these controllers; replaces the previous set.
 
         Returns:
             The added and removed controllers.
--- a/src/sandladder/scheduling/gate.py
+++ b/src/sandladder/scheduling/gate.py
@@ -45,7 +45,7 @@
         return self._by_resource.get(resource, {}).values()
 
     def affected_by(self, changed: Iterable[Resource]) -> dict[tuple[str, int], set[Resource]]:
-        """Return the keys of the pending starts that depend on changed resources, with these."""
+        """Return, by key of each affected pending start, the changed resources it depends on."""
         affected: dict[tuple[str, int], set[Resource]] = {}
         for resource in changed:
             for key in self._by_resource.get(resource, ()):
--- a/src/sandladder/scheduling/gpu_protection.py
+++ b/src/sandladder/scheduling/gpu_protection.py
@@ -9,14 +9,17 @@
 
 
 class GpuProtection:
-    """Decides which jobs must leave the cores and memory that belong to free GPUs unused."""
+    """Decides which jobs must leave the GPU share of machines unused.
+
+    A machine's GPU share is its cores and memory in proportion to its free GPUs.
+    """
 
     def __init__(self, cache: StateCache, priorities: JobPriorities, time: ViewTime) -> None:
         self._cache = cache
         self._priorities = priorities
         self._time = time
         self._started_at: dict[str, float] = {}  # by job, its last start on the steady clock
-        self._gpus_wanted_at = (-1, False)  # a revision of the records, and the result at it
+        self._gpus_wanted_cached = (-1, False)  # the store revision, and the result at it
 
     def avoids_gpus(self, spec: JobSpec) -> bool:
         """Return whether a job's tasks fit a type without GPUs while other jobs need GPUs.
@@ -29,12 +32,12 @@
             kind.gpus == 0 and kind.fits(spec) for kind in self._cache.machine_types.values()
         )
 
-    def keeps_gpus_free(self, job: Job) -> bool:
-        """Return whether a job must leave the share of free GPUs unused; not once it starves."""
+    def must_leave_gpu_share(self, job: Job) -> bool:
+        """Return whether a job must leave the GPU share unused; False once the job starves."""
         return self.avoids_gpus(job.spec) and not self._starved(job)
 
     def is_starved_of_gpu_machines(self, job: Job) -> bool:
-        """Return whether a job has starved so long that it may use the share of free GPUs."""
+        """Return whether a job may use the GPU share only because it starves."""
         return self.avoids_gpus(job.spec) and self._starved(job)
 
     def note_start(self, job_id: str) -> None:
@@ -48,13 +51,13 @@
 
     def _gpus_wanted(self) -> bool:
         """Return whether any live job needs GPUs, computed once for each store revision."""
-        if self._gpus_wanted_at[0] != self._cache.revision:
+        if self._gpus_wanted_cached[0] != self._cache.revision:
             wanted = any(job.spec.gpus > 0 for job in self._cache.jobs.values())
-            self._gpus_wanted_at = self._cache.revision, wanted
-        return self._gpus_wanted_at[1]
+            self._gpus_wanted_cached = self._cache.revision, wanted
+        return self._gpus_wanted_cached[1]
 
     def _starved(self, job: Job) -> bool:
-        """Return whether this process has seen no start of a waiting job's tasks for long."""
+        """Return whether a job has aged and this process has seen no recent start of its tasks."""
         started_at = self._started_at.get(job.id, -math.inf)
         idle_s = min(self._priorities.waited_s(job), self._time.now - started_at)
         return idle_s > self._priorities.aged_after_s
--- a/src/sandladder/scheduling/job_priorities.py
+++ b/src/sandladder/scheduling/job_priorities.py
@@ -1,7 +1,7 @@
 """Priorities and latest start times of waiting jobs.  Pure: no I/O, no clock.
 
-Times of jobs are wall-clock times in seconds, as in the stored records, which outlive the steady
-clock of a process.
+Times of jobs are times of day in seconds, as in the stored records: the steady clock of a process
+is not valid in another one.
 """
 
 from dataclasses import dataclass
@@ -13,7 +13,8 @@
 
 # The waiting time, in leases, after which a job counts as aged.
 AGED_LEASES = 4
-# The objective of jobs without one, in seconds: they come last, in the order of submission.
+# The start objective assumed for jobs without one, in seconds: they come last, in order of
+# submission.
 _NO_OBJECTIVE_S = 1e9
 # A job stops waiting for spot machines this many boot times before its latest start.
 _SPOT_WAIT_MARGIN_BOOTS = 4
@@ -31,7 +32,7 @@
 
 
 class JobPriorities:
-    """Priority, waiting time and latest start of jobs; their dependents are taken into account."""
+    """Priority, waiting time and latest start of jobs, adjusted for their dependents."""
 
     def __init__(self, settings: Settings, cache: StateCache, time: ViewTime) -> None:
         self._cache = cache
@@ -44,7 +45,7 @@
         self._deadlines: dict[str, _StartDeadline] = {}
 
     def scheduling_priority(self, job: Job) -> SchedulingPriority:
-        """Return the priority and due time of a job, as raised by the jobs that depend on it."""
+        """Return a job's priority and due time, adjusted for the jobs that depend on it."""
         return self._cache.dependency_index.scheduling_priority(job, self.expected_duration_s)
 
     def waiting_since(self, job: Job) -> float:
@@ -62,7 +63,7 @@
     def can_wait_for_boot(self, job: Job) -> bool:
         """Return whether a job has time to wait until a spot machine has booted.
 
-        Such jobs must not occupy ordinary machines that were rented for work that cannot wait.
+        Such jobs must not occupy on-demand machines that were rented for work that cannot wait.
         """
         spec = job.spec
         if not spec.spot or spec.kind != ARRAY:
--- a/src/sandladder/scheduling/machine_observations.py
+++ b/src/sandladder/scheduling/machine_observations.py
@@ -58,7 +58,7 @@
     def record(self, machine: str, new: MachineObservation) -> MachineObservation | None:
         """Store an observation and return it as stored, or None if a later one is stored.
 
-        An observation without images takes over those of the previous one of its agent epoch.
+        An observation without images keeps those of the previous one of the same agent epoch.
         """
         old = self._latest.get(machine)
         if old is not None:
@@ -90,7 +90,10 @@
         return self._time.now - observation.at
 
     def stale_at(self, observation: MachineObservation) -> float:
-        """Return when an observation becomes stale; other controllers' ones arrive with delay."""
+        """Return the time on the steady clock at which an observation becomes stale.
+
+        Observations of other controllers arrive later and are valid for longer.
+        """
         is_own = observation.reporting_controller == self._node
         return observation.at + (self.fresh_s if is_own else self.peer_fresh_s)
 
--- a/src/sandladder/scheduling/machine_selection.py
+++ b/src/sandladder/scheduling/machine_selection.py
@@ -15,7 +15,8 @@
 from sandladder.scheduling.free_capacity import FreeCapacity, count_fitting
 from sandladder.scheduling.placement_cost import PlacementCost
 
-# For this share of its start objective, a job uses only machines on which it can meet it.
+# Until this share of its start objective has passed, a job uses only machines on which it meets the
+# objective.
 _IN_TIME_ONLY_SHARE = 0.7
 # The sample grows to at most this multiple of its initial size.
 _MAX_SAMPLE_GROWTH = 32
@@ -34,7 +35,7 @@
         # By job class, the objective for the time to start, in seconds.
         self.start_within_s = cluster_view.settings.start_objectives_s
         self.failed_machines: dict[str, set[str]] = {}  # by job, the machines on which it failed
-        # The time, in seconds, after which a selection may differ though nothing else changed.
+        # The time, in seconds, after which a selection may differ without any other change.
         self.next_change_s = math.inf
 
     def in_time_filter(self, job: Job) -> MachineFilter | None:
--- a/src/sandladder/scheduling/placement_cost.py
+++ b/src/sandladder/scheduling/placement_cost.py
@@ -9,7 +9,7 @@
 
 # Weights, as multiples of a task's run time.
 _LATE_FETCH_COST = 2  # the image fetch takes more than `_MAX_FETCH_SHARE` of the start objective
-_ORDINARY_MACHINE_COST = 0.5  # an ordinary machine for a task that may use a spot machine
+_ON_DEMAND_COST = 0.5  # an on-demand machine for a task that may use a spot machine
 _UNUSED_CPUS_COST = 0.2  # times the share of the machine's cores that stay free
 _CLOSE_FIT_COST = 0.1  # a machine at or below this cost ends the search for a better one
 
@@ -48,8 +48,8 @@
             # The task would probably miss its start objective.
             cost += _LATE_FETCH_COST * run_s
         if spec.spot and not capacity.spot:
-            # Ordinary machines cost more, and jobs that must not use spot machines need them.
-            cost += _ORDINARY_MACHINE_COST * run_s
+            # On-demand machines cost more, and jobs that must not use spot machines need them.
+            cost += _ON_DEMAND_COST * run_s
         cost += _UNUSED_CPUS_COST * run_s * (capacity.cpus - spec.cpus) / max(kind.cpus, 1.0)
         if spec.kind == SERVICE:
             if zone_counts:
--- a/src/sandladder/scheduling/planner.py
+++ b/src/sandladder/scheduling/planner.py
@@ -21,7 +21,7 @@
 from sandladder.scheduling.reservation import Reservation
 from sandladder.state import StoreLimits
 
-# Limits the number of jobs with pending starts to what this many full transactions can carry.
+# The limit on jobs with pending starts, in full transactions.
 _MAX_PENDING_TRANSACTIONS = 2
 
 
@@ -39,7 +39,7 @@
 
     @property
     def next_change_s(self) -> float:
-        """The time, in seconds, after which a plan may differ though nothing else changed."""
+        """The time, in seconds, after which a plan may differ without any other change."""
         return self.selector.next_change_s
 
     def max_live_tasks(self, spec: JobSpec) -> int:
@@ -189,7 +189,7 @@
             max_tasks = min(max_tasks, self.max_live_tasks(spec) - len(job.live) - pending_count)
         count = min(max_tasks, job.waiting - pending_count)
         if count > 1 and cluster_view.gpu_protection.is_starved_of_gpu_machines(job):
-            return 1  # one task at a time may use the share of free GPUs
+            return 1  # one task at a time may use the GPU share
         return count
 
     def _choose_machines(
--- a/src/sandladder/scheduling/preemption.py
+++ b/src/sandladder/scheduling/preemption.py
@@ -86,7 +86,7 @@
         """Drop the expired claims.
 
         A claim does not expire while a stop for it waits for its commit; otherwise a slow store
-        would cause the same victims to be chosen again and again.
+        would cause the same victims to be chosen repeatedly.
         """
         claims_in_commit = {victim.reason for victim in self._stopping.values()}
         self._claims = {
@@ -98,7 +98,7 @@
     def _start_within_s(self, job: Job) -> float | None:
         """Return a job's objective for the time to start, in seconds, if it may preempt others.
 
-        None if it may not: a machine boots in that time, it is a gang, or it has no objective.
+        None if the job is a gang or has no objective, or if a machine boots within the objective.
         """
         within_s = self._selector.start_within_s.get(job.spec.job_class)
         if within_s is None or job.spec.kind == GANG:
@@ -121,7 +121,7 @@
     # Graceful eviction
 
     def graceful_evictions(self, owned: Iterable[Job]) -> list[PreemptionVictim]:
-        """Return replicas to evict from machines about to leave that fit on another machine."""
+        """Return replicas to evict from machines about to leave; each fits on another machine."""
         cluster_view = self._cluster_view
         leaving = cluster_view.observations.leaving_machines()
         if not leaving:
--- a/src/sandladder/scheduling/premises.py
+++ b/src/sandladder/scheduling/premises.py
@@ -109,7 +109,7 @@
     """The current state that premises are checked against."""
 
     def free_capacity(self, machine: str) -> FreeCapacity | None:
-        """Return what all starts, pending ones too, leave free on a machine; None if unknown."""
+        """Return what committed and pending starts leave free on a machine, or None if unknown."""
 
     def job(self, job_id: str) -> Job | None:
         """Return a live job, or None."""
@@ -121,7 +121,7 @@
         """Return what a team's live attempts leave of its limits."""
 
     def version(self, resource: Resource) -> int:
-        """Return a number that differs after each change of a resource."""
+        """Return the version of a resource, a number that each change of the resource alters."""
 
 
 def holds(premise: Premise, pending_start: PendingStart, evidence: Evidence) -> bool:
@@ -168,6 +168,7 @@
 def _same_reporting_controller(
     pending_start: PendingStart, evidence: Evidence, resource: Resource
 ) -> bool:
+    """Return whether the reporting controller is unchanged; store the new one if it is not."""
     capacity = evidence.free_capacity(pending_start.placement.machine)
     if capacity is None or capacity.reporting_controller == pending_start.reporting_controller:
         return True
--- a/src/sandladder/scheduling/reservation.py
+++ b/src/sandladder/scheduling/reservation.py
@@ -2,11 +2,12 @@
 
 Without a reservation, small tasks take each piece of capacity as it becomes free, and a gang or a
 task that needs most of a machine starves.  A job that has waited for `AGED_LEASES` leases reserves
-the machines on which it can start soonest, a gang as a whole.  Jobs of equal or lower claim cannot
-use these machines; jobs of a higher priority, or within their team's guarantee while this one is
-not, still can.  One aged job at a time holds a reservation, the first in the order; each urgent
-gang reserves machines as soon as it finds none free.  The wait is bounded, because the tasks on
-these machines end and no job of equal or lower claim replaces them.  Pure: no I/O, no clock.
+the machines on which it can start soonest, a gang as a whole.  Jobs of equal or lower precedence
+cannot use these machines; jobs of a higher priority, or of equal priority and within their team's
+guarantee while this one is not, still can.  One aged job at a time holds a reservation, the first
+in scheduling order; each urgent gang reserves machines as soon as it finds none free.  The wait is
+bounded, because the tasks on these machines end and no job of equal or lower precedence replaces
+them.  Pure: no I/O, no clock.
 """
 
 from collections import Counter
@@ -64,8 +65,8 @@
     def may_reserve(self, job: Job) -> bool:
         """Return whether machines may be reserved for a job that found none.
 
-        Each urgent gang may hold a reservation, or less urgent jobs would take the capacity of its
-        machines as it becomes free.  Of the other aged jobs, only one may hold one at a time.
+        Each urgent gang may hold a reservation; otherwise less urgent jobs would take the capacity
+        of its machines as it becomes free.  Only one other aged job at a time may hold one.
         """
         if job.id in self._reserved:
             return False
--- a/src/sandladder/scheduling/view_time.py
+++ b/src/sandladder/scheduling/view_time.py
@@ -2,7 +2,7 @@
 
 
 class ViewTime:
-    """The time as of which the parts of the cluster view answer, set before each query."""
+    """The time of the cluster view, shared by its parts; callers set it before each query."""
 
     __slots__ = ("now", "wall_offset_s")
 
