--- a/tests/plays.py
+++ b/tests/plays.py
@@ -185,7 +185,7 @@
 def _gpu_gangs() -> None:
     import test_quota
 
-    test_quota.test_gangs_of_gpus_in_one_zone_under_a_gpu_limit_alone(7)
+    test_quota.test_gpu_gangs_in_one_zone_finish_under_a_limit_on_gpus_only(7)
 
 
 def _largest_jobs() -> None:
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -285,7 +285,7 @@
             answer = await cluster.ask("POST", "/work", job(2, awaits=awaits))
             assert answer.status == status and text in answer.body, answer
         assert await cluster.submit(job(2, awaits=["job-000001"], bureau="blue")) == 201
-        # A repeated submission returns the accepted job's state, whatever its dependencies.
+        # A repeated submission returns the accepted job's state, even with other dependencies.
         answer = await cluster.ask("POST", "/work", job(2, awaits=["job-777777"]))
         assert answer.status == 200
         assert not await cluster.until_done(["job-000002"], 60.0)
@@ -309,29 +309,29 @@
 async def pipelines_under_fault(cluster: SimulatedCluster, fault: Fault) -> None:
     """Submit pipelines during a fault, cancel some jobs, and check that all others complete."""
     await wait_until_healthy(cluster)
-    lines = [pipeline(cluster, 100 * n) for n in range(1, 6)]
-    cancelled = [line[cluster.rng.randrange(len(line) - 1)]["id"] for line in lines[:2]]
+    pipelines = [pipeline(cluster, 100 * n) for n in range(1, 6)]
+    cancelled = [jobs[cluster.rng.randrange(len(jobs) - 1)]["id"] for jobs in pipelines[:2]]
 
-    async def user(line: list[dict[str, object]], delay: float) -> None:
-        await anyio.sleep(delay)
-        late = cluster.rng.random() < 0.3
-        await submit_in_order(cluster, line[:-1] if late else line)
+    async def submit_pipeline(jobs: list[dict[str, object]], delay_s: float) -> None:
+        await anyio.sleep(delay_s)
+        last_job_late = cluster.rng.random() < 0.3
+        await submit_in_order(cluster, jobs[:-1] if last_job_late else jobs)
         for name in cancelled:
-            if any(spec["id"] == name for spec in line):
+            if any(spec["id"] == name for spec in jobs):
                 await anyio.sleep(cluster.rng.uniform(0.0, 12.0))
                 await cluster.cancel(name)
-        if late:
-            await cluster.until_done([str(spec["id"]) for spec in line[:-1]], 400.0)
-            await submit_in_order(cluster, line[-1:])
+        if last_job_late:
+            await cluster.until_done([str(spec["id"]) for spec in jobs[:-1]], 400.0)
+            await submit_in_order(cluster, jobs[-1:])
 
     async with anyio.create_task_group() as tasks:
-        for number, line in enumerate(lines):
-            tasks.start_soon(user, line, 5.0 * number)
+        for number, jobs in enumerate(pipelines):
+            tasks.start_soon(submit_pipeline, jobs, 5.0 * number)
         tasks.start_soon(fault, cluster)
     cluster.network.heal()
-    ids = [str(spec["id"]) for line in lines for spec in line]
-    late = await cluster.until_done(ids, 300.0)
-    assert not late, [(i, await cluster.poll(i)) for i in late]
+    ids = [str(spec["id"]) for jobs in pipelines for spec in jobs]
+    unfinished = await cluster.until_done(ids, 300.0)
+    assert not unfinished, [(i, await cluster.poll(i)) for i in unfinished]
     for name in ids:
         if cluster.needed(name) & {
             n for n in cancelled if cluster.answers.over.get(n) == "cancelled"
@@ -364,16 +364,16 @@
 
 
 def test_dependents_are_cancelled_after_all_controllers_crash() -> None:
-    """Every controller crashes after the cancellation was acknowledged, before the next write."""
+    """Every controller crashes after acknowledging a cancellation and before the next write."""
     cluster = SimulatedCluster(81)
 
     async def main() -> None:
         await wait_until_healthy(cluster)
-        line = pipeline(cluster, 100)
-        line[0]["expect_s"] = 500.0
-        await submit_in_order(cluster, line)
+        jobs = pipeline(cluster, 100)
+        jobs[0]["expect_s"] = 500.0
+        await submit_in_order(cluster, jobs)
         await anyio.sleep(5.0)
-        assert await cluster.cancel(line[0]["id"]) == "cancelled"
+        assert await cluster.cancel(jobs[0]["id"]) == "cancelled"
         for index in range(3):
             cluster.crash(index)
         crashed_at = now()
@@ -381,7 +381,7 @@
         for index in range(3):
             cluster.boot(index)
         await wait_until_healthy(cluster)
-        for submitted in line:
+        for submitted in jobs:
             body = await cluster.poll(submitted["id"])
             assert body is None or body["standing"] == "cancelled"
         while any(node.cache.jobs for node in cluster.nodes.values()):
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -78,7 +78,7 @@
 def test_planning_lists_only_as_many_waiting_tasks_as_it_places(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a cost per waiting task of a large array in each planning round."""
+    """Guards against planning rounds whose cost grows with the waiting tasks of an array."""
     cluster_view, planner, cache, _ = scene(value_kb=16.0)
     monkeypatch.setitem(cluster_view.team_limits, "red", TeamLimits("red"))
     large_array = accept(cache, entries=2000, vcpus=1.0, ram_gb=0.1)
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -85,7 +85,7 @@
 
 
 @pytest.mark.parametrize("count", [3, 7])
-def test_gangs_of_gpus_in_one_zone_under_a_gpu_limit_alone(count: int) -> None:
+def test_gpu_gangs_in_one_zone_finish_under_a_limit_on_gpus_only(count: int) -> None:
     """Gangs with pinned types and large images finish while spot machines are reclaimed."""
     limits = [
         {"name": "red", "gpus": 4.0, "gpus_max": 8.0},
@@ -147,7 +147,7 @@
 
 @pytest.mark.skipif(production.missing() is not None, reason=str(production.missing()))
 def test_versions_with_different_admission_rules_agree_on_accepted_jobs() -> None:
-    """The version in production rejects jobs of a team with a GPU limit only, a new one does not."""
+    """The version in production rejects jobs of a team with a GPU limit only; this one accepts them."""
     cluster = SimulatedCluster(
         1090, old=True, limits=[{"name": "red", "gpus": 2.0, "gpus_max": 4.0}]
     )
