--- a/src/sandladder/jobs/job_committer.py
+++ b/src/sandladder/jobs/job_committer.py
@@ -277,7 +277,7 @@
 
 
 def _log_starts(
-    cluster_view: ClusterView, job: Job, started: list[PendingStart], time_of_day: float
+    cluster_view: ClusterView, job: Job, started: list[PendingStart], time_of_day_s: float
 ) -> None:
     """Log how long committed starts waited, and the remaining wait for their images."""
     image_waits_s = [
@@ -290,7 +290,7 @@
         job.id,
         job.spec.job_class,
         len(started),
-        time_of_day - cluster_view.waiting_since(job),
+        time_of_day_s - cluster_view.waiting_since(job),
         max(image_waits_s),
         sum(wait_s <= 0 for wait_s in image_waits_s),
         cluster_view.cache.version(JOB_PREFIX + job.id),
--- a/src/sandladder/scheduling/planner.py
+++ b/src/sandladder/scheduling/planner.py
@@ -68,8 +68,8 @@
         planned = self._jobs_to_plan(owned, backing_off, min_priority)
         self.urgent = self._any_urgent(planned)
         pending = _PendingWork(cluster_view.gate)
-        budget = _MAX_PENDING_TRANSACTIONS * self.store_limits.txn_ops - len(pending.by_job)
-        if not planned or budget <= 0:
+        job_budget = _MAX_PENDING_TRANSACTIONS * self.store_limits.txn_ops - len(pending.by_job)
+        if not planned or job_budget <= 0:
             return []  # further starts would be stale by the time of their commit
         jobs = self._jobs_in_order(planned)
         self.reservation.release_expired(jobs)
@@ -78,7 +78,7 @@
         reserved = ReservedMachines(self.reservation, candidates, cluster_view)
         admitted: list[PendingStart] = []
         for job, with_image_only in _placement_order(jobs, cluster_view):
-            if budget <= 0:
+            if job_budget <= 0:
                 break
             reserved.hide_from(job)
             job_starts = pending.starts_of(job)
@@ -89,7 +89,7 @@
                 continue
             if job.id in planned:
                 if not job_starts:
-                    budget -= 1
+                    job_budget -= 1
                 self._admit(placed)
                 admitted += placed
             job_starts += placed
