--- a/src/sandladder/scheduling/bin_packing.py
+++ b/src/sandladder/scheduling/bin_packing.py
@@ -24,7 +24,7 @@
         Args:
             spec: the job.
             limit: the most tasks to count.
-            keep_gpus: whether the cores and memory that belong to free GPUs stay unused.
+            keep_gpus: whether the GPU share stays unused (see `GpuProtection`).
         """
         cpus, memory_gb = self.cpus, self.memory_gb
         if keep_gpus and self.gpus > 0:
@@ -64,7 +64,7 @@
         self._only_zone = only_zone
 
     @staticmethod
-    def of(job: Job) -> "ZoneQuota | None":
+    def for_job(job: Job) -> "ZoneQuota | None":
         """Return the limits for the waiting tasks of a job, or None if any zone may take them."""
         zone_counts = Counter(attempt.zone for attempt in job.live.values())
         if job.spec.spread:
@@ -88,7 +88,7 @@
     """Tasks for which there is no capacity."""
 
     spec: JobSpec
-    ordinary_allowed: bool  # an ordinary machine may be rented for them
+    on_demand_allowed: bool  # an on-demand machine may be rented for them
     tasks: int
     zones: ZoneQuota | None = None  # None: any zone may take them
 
@@ -121,9 +121,9 @@
         count: the most tasks to pack.
         bins: the machines, filled in this order.
         spot_only: whether only spot machines are used.
-        zones: the number of tasks that each zone may take, or None for any number.  Free capacity
-            in a zone that may take no more must not count as usable.
-        keep_gpus: whether the cores and memory that belong to free GPUs stay unused.
+        zones: the number of tasks that each zone may take, or None for any number.  Prevents the
+            use of free capacity in a zone whose limit is reached.
+        keep_gpus: whether the GPU share stays unused (see `GpuProtection`).
 
     Returns:
         The number of packed tasks.
--- a/src/sandladder/scheduling/planner.py
+++ b/src/sandladder/scheduling/planner.py
@@ -21,7 +21,7 @@
 from sandladder.scheduling.reservation import Reservation
 from sandladder.state import StoreLimits
 
-# Limits the number of jobs with pending starts to what this many full transactions can carry.
+# The limit on jobs with pending starts, in full transactions.
 _MAX_PENDING_TRANSACTIONS = 2
 
 
@@ -39,7 +39,7 @@
 
     @property
     def next_change_s(self) -> float:
-        """The time, in seconds, after which a plan may differ though nothing else changed."""
+        """The time, in seconds, after which a plan may differ without any other change."""
         return self.selector.next_change_s
 
     def max_live_tasks(self, spec: JobSpec) -> int:
@@ -68,8 +68,8 @@
         planned = self._jobs_to_plan(owned, backing_off, min_priority)
         self.urgent = self._any_urgent(planned)
         pending = _PendingWork(cluster_view.gate)
-        budget = _MAX_PENDING_TRANSACTIONS * self.store_limits.txn_ops - len(pending.by_job)
-        if not planned or budget <= 0:
+        job_budget = _MAX_PENDING_TRANSACTIONS * self.store_limits.txn_ops - len(pending.by_job)
+        if not planned or job_budget <= 0:
             return []  # further starts would be stale by the time of their commit
         jobs = self._jobs_in_order(planned)
         self.reservation.release_expired(jobs)
@@ -78,7 +78,7 @@
         reserved = ReservedMachines(self.reservation, candidates, cluster_view)
         admitted: list[PendingStart] = []
         for job, with_image_only in _placement_order(jobs, cluster_view):
-            if budget <= 0:
+            if job_budget <= 0:
                 break
             reserved.hide_from(job)
             job_starts = pending.starts_of(job)
@@ -89,7 +89,7 @@
                 continue
             if job.id in planned:
                 if not job_starts:
-                    budget -= 1
+                    job_budget -= 1
                 self._admit(placed)
                 admitted += placed
             job_starts += placed
@@ -189,7 +189,7 @@
             max_tasks = min(max_tasks, self.max_live_tasks(spec) - len(job.live) - pending_count)
         count = min(max_tasks, job.waiting - pending_count)
         if count > 1 and cluster_view.gpu_protection.is_starved_of_gpu_machines(job):
-            return 1  # one task at a time may use the share of free GPUs
+            return 1  # one task at a time may use the GPU share
         return count
 
     def _choose_machines(
