--- a/run.py
+++ b/run.py
@@ -1,4 +1,4 @@
-"""Start sandladder from a checkout: put the sources and their dependencies on the path."""
+"""Start sandladder from a checkout, with its sources and dependencies on the import path."""
 
 import sys
 from pathlib import Path
--- a/tools/same_plays.py
+++ b/tools/same_plays.py
@@ -1,20 +1,19 @@
 #!/usr/bin/env python3
-"""Play the plays of `tests/plays.py` at a commit and in the working tree, and compare their events.
+"""Run the plays of `tests/plays.py` at a commit and in the working tree, and compare their events.
 
     python tools/same_plays.py BASE [--jobs 10] [--only TEXT] [--context 3]
 
-An event is a request or its answer, with status and body, or a frame between controllers, in
-virtual time, as the simulation traces it.  A change of names and shape must leave each of
-them, byte for byte.  BASE's tree is taken from the history; its own tests play it.  Each play is
-printed with its count of events and the processor time of both sides in seconds, and where they
-differ with the first difference.  A play whose checks fail on both sides alike is compared all the
-same, and said to fail.
+An event is a request, a response with status and body, or a frame between controllers, in virtual
+time, as the simulation traces it.  A refactoring must leave every event the same, byte for byte.
+BASE's sources and tests are extracted from the git history.  For each play the number of events,
+the processor time of both sides in seconds and the first difference are printed.  A play whose
+checks fail in the working tree is compared as well, and counted as failed.
 
-With `--keep DIR` the base's events are kept there and used again, so that only the working tree is
-played; the base's processor times are then those of the kept run.
+With `--keep DIR` the events of BASE are stored in DIR and reused by later runs, which then run
+only the working tree and report the processor times of the stored run.
 
-Exit status 0 if all plays are the same and none failed, 1 otherwise, 2 for a base that cannot be
-had.
+Exit status: 0 if all plays are the same and none failed, 1 otherwise, 2 if BASE or the selected
+plays do not exist.
 """
 
 import argparse
@@ -33,13 +32,13 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-# How much of an event is shown: a request's body may take kilobytes.
+# Length to which printed events and error output are cut: the body of a request may have kilobytes.
 SHOWN_CHARACTERS = 400
 
 
 @dataclass(frozen=True)
 class Outcome:
-    """What one play in one tree came to."""
+    """The outcome of one play in one tree."""
 
     events: Path
     count: int
@@ -50,7 +49,14 @@
 
 @dataclass(frozen=True)
 class Comparison:
-    """One play in both trees; `differs_at`: the position of the first event that differs."""
+    """The outcomes of one play in both trees.
+
+    Attributes:
+        name: the name of the play.
+        base: the outcome at the base commit.
+        here: the outcome in the working tree.
+        differs_at: the position of the first event that differs, or None.
+    """
 
     name: str
     base: Outcome
@@ -59,15 +65,15 @@
 
     @property
     def same(self) -> bool:
-        """Whether both sides made the same events and ended alike."""
+        """Whether events and exit status are the same."""
         return self.differs_at is None and self.base.exit_status == self.here.exit_status
 
 
 def extract(commit: str, folder: Path) -> None:
-    """Write a commit's sources and tests below a folder.
+    """Extract a commit's sources and tests into a folder.
 
     Raises:
-        subprocess.CalledProcessError: the history here has no such commit.
+        subprocess.CalledProcessError: the repository has no such commit.
     """
     command = ["git", "-C", str(ROOT), "archive", commit, "src", "tests", "tools", "deploy"]
     archive = subprocess.run(command, check=True, capture_output=True).stdout
@@ -76,20 +82,20 @@
 
 
 def commit_id(commit: str) -> str:
-    """The full id of a commit."""
+    """Return the full hash of a commit."""
     command = ["git", "-C", str(ROOT), "rev-parse", commit]
     return subprocess.run(command, check=True, capture_output=True, text=True).stdout.strip()
 
 
 def import_path(tree: Path) -> str:
-    """The folders of a tree from which its plays import."""
+    """Return the import path of a tree's plays, as in PYTHONPATH."""
     tests = tree / "tests"
     folders = sorted({path.parent for path in tests.rglob("*.py")})
     return os.pathsep.join(map(str, (tree / "src", *folders, tree / "tools")))
 
 
 def play(tree: Path, name: str, events: Path) -> Outcome:
-    """Run one play in a process of its own, with its events written to a file."""
+    """Run one play in a process of its own and write its events to a file."""
     git_folder = subprocess.run(
         ["git", "-C", str(ROOT), "rev-parse", "--absolute-git-dir"],
         check=True, capture_output=True, text=True,
@@ -97,11 +103,11 @@
     environment = os.environ | {
         "PYTHONPATH": import_path(tree),
         "PYTHONHASHSEED": "0",
-        # The version in production is taken from the history, which the base's tree has not.
+        # Tests read the production version from the git history, which an extracted tree lacks.
         "GIT_DIR": git_folder,
     }
-    said = events.with_suffix(".err")
-    with events.open("wb") as output, said.open("wb") as errors:
+    error_path = events.with_suffix(".err")
+    with events.open("wb") as output, error_path.open("wb") as errors:
         process = subprocess.Popen(
             [sys.executable, str(tree / "tests" / "plays.py"), name],
             env=environment, stdout=output, stderr=errors, cwd=tree,
@@ -115,81 +121,95 @@
         count,
         usage.ru_utime + usage.ru_stime,
         process.returncode,
-        said.read_text("utf-8", "replace").strip()[-SHOWN_CHARACTERS:],
+        error_path.read_text("utf-8", "replace").strip()[-SHOWN_CHARACTERS:],
     )
 
 
-def first_difference(one: Path, other: Path) -> int | None:
-    """The position of the first line that is not the same in both files, or None."""
-    with one.open("rb") as left, other.open("rb") as right:
+def first_difference(first: Path, second: Path) -> int | None:
+    """Return the position of the first line that differs, or None if the files are equal."""
+    with first.open("rb") as left, second.open("rb") as right:
         pairs = itertools.zip_longest(left, right)
-        return next((at for at, (line, match) in enumerate(pairs) if line != match), None)
+        return next(
+            (position for position, (line, match) in enumerate(pairs) if line != match), None
+        )
 
 
-def kept_play(tree: Path, name: str, events: Path) -> Outcome:
-    """The outcome of a play whose events were kept, or else play it and keep them."""
-    noted = events.with_suffix(".json")
-    if noted.exists():
-        return Outcome(events, **json.loads(noted.read_text()))
-    found = play(tree, name, events)
-    figures = {field: value for field, value in vars(found).items() if field != "events"}
-    # Written last and in one step: a run that was broken off is not taken for a whole one.
-    draft = noted.with_suffix(".draft")
-    draft.write_text(json.dumps(figures))
-    draft.rename(noted)
-    return found
+def stored_play(tree: Path, name: str, events: Path) -> Outcome:
+    """Return the stored outcome of a play, or run the play and store its outcome."""
+    outcome_path = events.with_suffix(".json")
+    if outcome_path.exists():
+        return Outcome(events, **json.loads(outcome_path.read_text()))
+    outcome = play(tree, name, events)
+    fields = {field: value for field, value in vars(outcome).items() if field != "events"}
+    # Written last and atomically, so that an interrupted run is not taken for a complete one.
+    draft = outcome_path.with_suffix(".draft")
+    draft.write_text(json.dumps(fields))
+    draft.rename(outcome_path)
+    return outcome
 
 
 def compare(
-    name: str, base: Path, here: Path, scratch: Path, number: int, kept: Path | None = None
+    name: str, base: Path, here: Path, scratch: Path, index: int, outcome_folder: Path | None = None
 ) -> Comparison:
-    """Run one play in both trees, one after the other; the base's from what was kept, if so."""
-    if kept is None:
-        one = play(base, name, scratch / f"{number}-base")
+    """Run one play in both trees, one after the other.
+
+    Args:
+        name: the name of the play.
+        base: the tree of the base commit.
+        here: the working tree.
+        scratch: the folder for the events.
+        index: makes the names of the files in `scratch` unique.
+        outcome_folder: the folder of the base's stored outcomes, if they are stored.
+    """
+    if outcome_folder is None:
+        base_outcome = play(base, name, scratch / f"{index}-base")
     else:
-        one = kept_play(base, name, kept / re.sub(r"[^0-9a-z]+", "-", name))
-    other = play(here, name, scratch / f"{number}-here")
-    return Comparison(name, one, other, first_difference(one.events, other.events))
+        base_outcome = stored_play(base, name, outcome_folder / re.sub(r"[^0-9a-z]+", "-", name))
+    outcome = play(here, name, scratch / f"{index}-here")
+    return Comparison(
+        name, base_outcome, outcome, first_difference(base_outcome.events, outcome.events)
+    )
 
 
-def lines_around(path: Path, at: int, context: int) -> Iterator[str]:
-    """The events before a position, and the one there."""
+def lines_around(path: Path, position: int, context: int) -> Iterator[str]:
+    """Yield the event at a position, after up to `context` events before it."""
     with path.open("rb") as lines:
-        for line in itertools.islice(lines, max(0, at - context), at + 1):
+        for line in itertools.islice(lines, max(0, position - context), position + 1):
             yield line.decode("utf-8", "replace").rstrip()[:SHOWN_CHARACTERS]
 
 
-def report(found: Comparison, context: int) -> None:
-    """Print one comparison."""
-    verdict = "same" if found.same else "DIFFERS"
-    if found.here.exit_status:
+def print_comparison(comparison: Comparison, context: int) -> None:
+    verdict = "same" if comparison.same else "DIFFERS"
+    if comparison.here.exit_status:
         verdict += ", its checks fail"
-    times = f"{found.base.processor_s:6.1f} {found.here.processor_s:6.1f}"
-    print(f"{found.name:50} {found.here.count:7} events {times} s  {verdict}", flush=True)
-    if found.differs_at is not None:
-        for side, outcome in (("base", found.base), ("here", found.here)):
-            for line in lines_around(outcome.events, found.differs_at, context):
+    times = f"{comparison.base.processor_s:6.1f} {comparison.here.processor_s:6.1f}"
+    print(f"{comparison.name:50} {comparison.here.count:7} events {times} s  {verdict}", flush=True)
+    if comparison.differs_at is not None:
+        for side, outcome in (("base", comparison.base), ("here", comparison.here)):
+            for line in lines_around(outcome.events, comparison.differs_at, context):
                 print(f"    {side}: {line}")
-    if found.here.exit_status or found.base.exit_status:
-        print(f"    base: {found.base.last_words}\n    here: {found.here.last_words}")
+    if comparison.here.exit_status or comparison.base.exit_status:
+        print(f"    base: {comparison.base.last_words}\n    here: {comparison.here.last_words}")
 
 
-def names_of(tree: Path) -> list[str]:
-    """The names of the plays that a tree has."""
+def play_names(tree: Path) -> list[str]:
+    """Return the names of a tree's plays."""
     command = [sys.executable, str(tree / "tests" / "plays.py"), "--list"]
     environment = os.environ | {"PYTHONPATH": import_path(tree)}
-    done = subprocess.run(command, check=True, capture_output=True, text=True, env=environment)
-    return done.stdout.splitlines()
+    process = subprocess.run(command, check=True, capture_output=True, text=True, env=environment)
+    return process.stdout.splitlines()
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Compare all plays; the exit status."""
+    """Compare the selected plays and return the exit status."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("base", help="the commit to compare with")
-    parser.add_argument("--jobs", type=int, default=os.cpu_count(), help="plays at once")
-    parser.add_argument("--only", default="", metavar="TEXT", help="plays with this in their name")
-    parser.add_argument("--context", type=int, default=3, help="events shown before a difference")
-    parser.add_argument("--keep", type=Path, metavar="DIR", help="keep and reuse the base's events")
+    parser.add_argument("--jobs", type=int, default=os.cpu_count(), help="plays run in parallel")
+    parser.add_argument(
+        "--only", default="", metavar="TEXT", help="run plays whose name contains TEXT"
+    )
+    parser.add_argument("--context", type=int, default=3, help="events printed before a difference")
+    parser.add_argument("--keep", type=Path, metavar="DIR", help="store and reuse BASE's events")
     options = parser.parse_args(arguments)
     with tempfile.TemporaryDirectory(prefix="sandladder-plays-") as folder:
         scratch = Path(folder)
@@ -199,30 +219,32 @@
         except subprocess.CalledProcessError as error:
             print(error.stderr.decode("utf-8", "replace").strip(), file=sys.stderr)
             return 2
-        names = [name for name in names_of(ROOT) if options.only in name]
-        missing = sorted(set(names) - set(names_of(base)))
+        names = [name for name in play_names(ROOT) if options.only in name]
+        missing = sorted(set(names) - set(play_names(base)))
         if missing or not names:
-            print(f"no play has that in its name, or the base lacks: {missing}", file=sys.stderr)
+            print(f"no play matches --only, or BASE lacks plays: {missing}", file=sys.stderr)
             return 2
-        kept = None
+        outcome_folder = None
         if options.keep is not None:
-            kept = options.keep / commit_id(options.base)
-            kept.mkdir(parents=True, exist_ok=True)
-        found: list[Comparison] = []
+            outcome_folder = options.keep / commit_id(options.base)
+            outcome_folder.mkdir(parents=True, exist_ok=True)
+        comparisons: list[Comparison] = []
         with ThreadPoolExecutor(options.jobs) as pool:
-            numbers = range(len(names))
-            plays = pool.map(lambda n: compare(names[n], base, ROOT, scratch, n, kept), numbers)
+            indices = range(len(names))
+            plays = pool.map(
+                lambda i: compare(names[i], base, ROOT, scratch, i, outcome_folder), indices
+            )
             for comparison in plays:
-                report(comparison, options.context)
-                found.append(comparison)
-    before = sum(comparison.base.processor_s for comparison in found)
-    after = sum(comparison.here.processor_s for comparison in found)
-    differing = [comparison.name for comparison in found if not comparison.same]
-    failed = [comparison.name for comparison in found if comparison.here.exit_status]
-    events = sum(comparison.here.count for comparison in found)
+                print_comparison(comparison, options.context)
+                comparisons.append(comparison)
+    base_s = sum(comparison.base.processor_s for comparison in comparisons)
+    here_s = sum(comparison.here.processor_s for comparison in comparisons)
+    differing = [comparison.name for comparison in comparisons if not comparison.same]
+    failed = [comparison.name for comparison in comparisons if comparison.here.exit_status]
+    events = sum(comparison.here.count for comparison in comparisons)
     print(
-        f"{len(found)} plays, {events} events, {len(differing)} differ, {len(failed)} fail; "
-        f"processor time {before:.1f} s before, {after:.1f} s after, ratio {after / before:.3f}"
+        f"{len(comparisons)} plays, {events} events, {len(differing)} differ, {len(failed)} fail; "
+        f"processor time {base_s:.1f} s before, {here_s:.1f} s after, ratio {here_s / base_s:.3f}"
     )
     return 1 if differing or failed else 0
 
--- a/tools/scale_run.py
+++ b/tools/scale_run.py
@@ -1,13 +1,15 @@
 #!/usr/bin/env python3
-"""How many task starts a second real controllers carry, with simulated workers, in virtual time.
+"""Measure the task starts per second that real controllers sustain with simulated workers.
 
     python tools/scale_run.py [--workers 130] [--controllers 9] [--teams 17] [--rate 60]
 
-All share one process: the controllers are the real ones, the workers keep leases, epochs, fencing
-tokens and tasks by the protocol and run nothing, and the store keeps to a deployment's limits
-(`tests/simulation`).  Time is virtual, so what bounds the starts is the store and the protocol;
-processor time is not charged and not measured.  The rules are checked once a second of the run.
-Bounded in time by --minutes.  Exit status 1 if a rule broke, 2 if the time ran out.
+All run in one process and in virtual time (`tests/simulation`).  The controllers are the real ones.
+The workers implement leases, epochs, fencing tokens and tasks of the protocol but run nothing, and
+the store enforces a deployment's limits.  As time is virtual, the store and the protocol bound the
+starts; processor time is neither charged nor measured.  The safety rules are checked once a second
+of virtual time.  `--minutes` bounds the real time.
+
+Exit status: 1 if a rule was violated, 2 if the time ran out.
 """
 
 import argparse
@@ -29,17 +31,17 @@
 from simulation import ZONES, SimulatedCluster, job, now, run  # noqa: E402
 from simulation.workloads import wait_until_healthy  # noqa: E402
 
-# The mix: of ten jobs two are urgent and small, the rest are arrays.  Tasks run so many seconds.
-_OF_JOBS, _URGENT = 10, 2
-_URGENT_TASKS, _ARRAY_TASKS = 10, 40
-_TASK_S = 8.0
-# The load is applied for so long before anything is counted, in seconds.
-_SETTLE_S = 20.0
-_SAMPLE_S = 0.25
+# Of each cycle of jobs the first ones are urgent and small, the others are arrays.
+_JOBS_PER_CYCLE, _URGENT_PER_CYCLE = 10, 2
+_TASKS_PER_URGENT_JOB, _TASKS_PER_ARRAY = 10, 40
+_TASK_DURATION_S = 8.0
+# Seconds of load before the counts begin.
+_WARM_UP_S = 20.0
+_SAMPLE_INTERVAL_S = 0.25
 
 
 class StoreLimits(NamedTuple):
-    """What the store takes: requests and changes a second, changes a transaction."""
+    """Limits of the store: requests and writes per second, writes per transaction."""
 
     rps: float
     write_rps: float
@@ -47,46 +49,54 @@
 
 
 class ScaleCluster(SimulatedCluster):
-    """A simulated cluster in which the rules are checked once a second."""
+    """A simulated cluster whose rules are checked once a second."""
 
     _checked_at = float("-inf")
 
     def check(self) -> None:
-        """Check the rules about everything that is on a machine, once a second."""
+        """Check the rules about all tasks on machines, at most once a second."""
         if now() - self._checked_at >= 1.0:
             self._checked_at = now()
             super().check()
 
 
 class SubmissionLoad:
-    """Users who submit jobs at a steady rate; when each was submitted and had started."""
+    """Submits jobs at a steady rate and records when their tasks have started.
+
+    Attributes:
+        submitted_at: virtual time in seconds of each submission, by job.
+        started_at: virtual time in seconds at which all tasks had started, by job.
+        urgent: the urgent jobs.
+    """
 
     def __init__(self, cluster: ScaleCluster, teams: list[str], starts_per_s: float) -> None:
         self._cluster, self._teams = cluster, teams
-        tasks = _URGENT * _URGENT_TASKS + (_OF_JOBS - _URGENT) * _ARRAY_TASKS
-        self._jobs_per_s = starts_per_s * _OF_JOBS / tasks
-        # By job, in virtual seconds.
-        self.submitted: dict[str, float] = {}
-        self.all_started: dict[str, float] = {}  # when all its tasks had started
+        tasks = (
+            _URGENT_PER_CYCLE * _TASKS_PER_URGENT_JOB
+            + (_JOBS_PER_CYCLE - _URGENT_PER_CYCLE) * _TASKS_PER_ARRAY
+        )
+        self._jobs_per_s = starts_per_s * _JOBS_PER_CYCLE / tasks
+        self.submitted_at: dict[str, float] = {}
+        self.started_at: dict[str, float] = {}
         self.urgent: set[str] = set()
 
     async def submit(self) -> None:
-        """Submit until cancelled."""
+        """Submit jobs until cancelled."""
         number = 0
         while True:
-            urgent = number % _OF_JOBS < _URGENT
+            urgent = number % _JOBS_PER_CYCLE < _URGENT_PER_CYCLE
             spec = job(
                 number,
                 bureau=self._teams[number % len(self._teams)],
                 rank="urgent" if urgent else "normal",
-                entries=_URGENT_TASKS if urgent else _ARRAY_TASKS,
+                entries=_TASKS_PER_URGENT_JOB if urgent else _TASKS_PER_ARRAY,
                 vcpus=1.0,
                 ram_gb=1.0,
                 image_gb=0.1,
-                expect_s=_TASK_S,
+                expect_s=_TASK_DURATION_S,
                 parcel=f"img-{number % 8}",
             )
-            self.submitted[spec["id"]] = now()
+            self.submitted_at[spec["id"]] = now()
             if urgent:
                 self.urgent.add(spec["id"])
             self._cluster.network.tasks.start_soon(self._cluster.submit, spec, 240)
@@ -94,32 +104,37 @@
             await anyio.sleep(1 / self._jobs_per_s)
 
     async def watch(self) -> None:
-        """Note when all tasks of a job have started, until cancelled."""
+        """Record when all tasks of each job have started, until cancelled."""
         while True:
-            await anyio.sleep(_SAMPLE_S)
-            for job_id in [j for j in self.submitted if j not in self.all_started]:
+            await anyio.sleep(_SAMPLE_INTERVAL_S)
+            for job_id in [j for j in self.submitted_at if j not in self.started_at]:
                 tasks = self._cluster.specs.get(job_id, {}).get("entries")
                 names = (f"{job_id}/{task}" for task in range(tasks or 0))
                 if tasks and all(self._cluster.starts[name] for name in names):
-                    self.all_started[job_id] = now()
+                    self.started_at[job_id] = now()
+
+    def wait_times(self, since: float, urgent: bool) -> list[float]:
+        """Return the waits in seconds, so far or until the start, of jobs submitted since a time.
 
-    def waits(self, since: float, urgent: bool) -> list[float]:
-        """How many seconds jobs submitted since a moment waited, or have waited so far."""
+        Args:
+            since: the virtual time in seconds.
+            urgent: whether to select the urgent jobs or the others.
+        """
         return [
-            self.all_started.get(job_id, now()) - at
-            for job_id, at in self.submitted.items()
-            if at >= since and (job_id in self.urgent) == urgent
+            self.started_at.get(job_id, now()) - submitted_at
+            for job_id, submitted_at in self.submitted_at.items()
+            if submitted_at >= since and (job_id in self.urgent) == urgent
         ]
 
 
 def percentile(values: list[float], percent: int) -> float:
-    """A percentile in the values' unit; 0 of none."""
+    """Return a percentile of the values, or 0 if there are none."""
     return quantiles(values, n=100)[percent - 1] if len(values) > 1 else sum(values)
 
 
-async def play(cluster: ScaleCluster, options: argparse.Namespace, found: dict[str, Any]) -> None:
-    """Start the workers, apply the load, and put what is counted into `found`."""
-    ends = time.monotonic() + 60 * options.minutes
+async def play(cluster: ScaleCluster, options: argparse.Namespace, counts: dict[str, Any]) -> None:
+    """Start the workers, apply the load, and add the counts to `counts`."""
+    deadline = time.monotonic() + 60 * options.minutes
     for number in range(options.workers):
         cluster.cloud.add("large", ZONES[number % len(ZONES)], False)
     for worker in cluster.cloud.workers.values():
@@ -129,56 +144,56 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(load.submit)
         tasks.start_soon(load.watch)
-        await anyio.sleep(_SETTLE_S)
-        began, before = now(), cluster.starts.total()
-        changes = len(cluster.store.history)
-        by_second: Counter[int] = Counter()
-        while now() < began + options.seconds:
-            at = cluster.starts.total()
+        await anyio.sleep(_WARM_UP_S)
+        start_time, starts_before = now(), cluster.starts.total()
+        writes_before = len(cluster.store.history)
+        starts_by_second: Counter[int] = Counter()
+        while now() < start_time + options.seconds:
+            starts = cluster.starts.total()
             await anyio.sleep(1.0)
-            by_second[int(now() - began)] = cluster.starts.total() - at
-            if time.monotonic() > ends:
-                found["ended early at"] = round(now() - began, 1)
+            starts_by_second[int(now() - start_time)] = cluster.starts.total() - starts
+            if time.monotonic() > deadline:
+                counts["ended early at"] = round(now() - start_time, 1)
                 break
-        counted_s = now() - began
-        found |= {
+        counted_s = now() - start_time
+        counts |= {
             "seconds counted": round(counted_s, 1),
-            "starts a second": round((cluster.starts.total() - before) / counted_s, 1),
-            "most starts in a second": max(by_second.values()),
-            "changes a second": round((len(cluster.store.history) - changes) / counted_s, 2),
+            "starts a second": round((cluster.starts.total() - starts_before) / counted_s, 1),
+            "most starts in a second": max(starts_by_second.values()),
+            "changes a second": round((len(cluster.store.history) - writes_before) / counted_s, 2),
             "tasks running": len(cluster.present()),
-            "urgent wait p50, p99 (s)": _waits(load, began, True),
-            "other wait p50, p99 (s)": _waits(load, began, False),
+            "urgent wait p50, p99 (s)": _wait_percentiles(load, start_time, True),
+            "other wait p50, p99 (s)": _wait_percentiles(load, start_time, False),
         }
         tasks.cancel_scope.cancel()
 
 
-def _waits(load: SubmissionLoad, since: float, urgent: bool) -> list[float]:
-    waits = load.waits(since, urgent)
+def _wait_percentiles(load: SubmissionLoad, since: float, urgent: bool) -> list[float]:
+    waits = load.wait_times(since, urgent)
     return [round(percentile(waits, percent), 2) for percent in (50, 99)]
 
 
 def teams(number: int) -> Iterator[dict[str, Any]]:
-    """Teams without a limit that binds, each with a guarantee."""
+    """Yield teams that each have a guarantee and a limit too high to bind."""
     for index in range(number):
         yield {"name": f"team-{index:03d}", "cpus": 8.0, "cpus_max": 4000.0}
 
 
 def main() -> int:
-    """Run what the command line asks for, and print the counts as JSON; the exit status."""
+    """Run the load, print the counts as JSON, and return the exit status."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--workers", type=int, default=130, help="simulated workers")
     parser.add_argument("--controllers", type=int, default=9, help="real controllers")
     parser.add_argument("--teams", type=int, default=17, help="teams, each with a guarantee")
-    parser.add_argument("--rate", type=float, default=60.0, help="task starts asked for a second")
+    parser.add_argument("--rate", type=float, default=60.0, help="task starts requested per second")
     parser.add_argument(
-        "--seconds", type=float, default=60.0, help="how long is counted, in virtual time"
+        "--seconds", type=float, default=60.0, help="duration of the count, in virtual time"
     )
     parser.add_argument(
-        "--write-rps", type=float, default=20.0, help="changes a second that the store takes"
+        "--write-rps", type=float, default=20.0, help="writes per second that the store accepts"
     )
-    parser.add_argument("--minutes", type=float, default=10.0, help="of real time at most")
-    parser.add_argument("--seed", type=int, default=1, help="of everything random")
+    parser.add_argument("--minutes", type=float, default=10.0, help="limit of real time")
+    parser.add_argument("--seed", type=int, default=1, help="seed of the simulation")
     options = parser.parse_args()
     logging.disable(logging.WARNING)
     limits = StoreLimits(300.0, options.write_rps, 12)
@@ -187,7 +202,7 @@
     )
     cluster.store.write_rps, cluster.store.txn_ops = limits.write_rps, limits.txn_ops
     cluster.cloud.capacity = options.workers
-    found: dict[str, Any] = {
+    counts: dict[str, Any] = {
         "workers": options.workers,
         "controllers": options.controllers,
         "teams": options.teams,
@@ -195,11 +210,11 @@
         "state service, changes a second": limits.write_rps,
     }
     began = time.monotonic()
-    run(cluster, lambda: play(cluster, options, found))
-    found["real time (s)"] = round(time.monotonic() - began, 1)
-    found["rules broken"] = [str(broken) for broken in cluster.violations[:5]]
-    print(json.dumps(found, indent=2))
-    return 1 if cluster.violations else 2 if "ended early at" in found else 0
+    run(cluster, lambda: play(cluster, options, counts))
+    counts["real time (s)"] = round(time.monotonic() - began, 1)
+    counts["rules broken"] = [str(violation) for violation in cluster.violations[:5]]
+    print(json.dumps(counts, indent=2))
+    return 1 if cluster.violations else 2 if "ended early at" in counts else 0
 
 
 if __name__ == "__main__":
