--- a/tests/test_same_plays.py
+++ b/tests/test_same_plays.py
@@ -20,7 +20,7 @@
     copy = copy_of_the_tree(tmp_path / "copy")
     found = same_plays.compare(PLAY, copy, same_plays.ROOT, tmp_path, 0)
     assert found.base.exit_status == 0, found.base.last_words
-    assert found.same and found.base.count == found.here.count > 1000
+    assert found.same and found.base.count == found.current.count > 1000
 
 
 def test_a_planted_change_of_bytes_is_found(tmp_path: Path) -> None:
@@ -35,7 +35,7 @@
     found = same_plays.compare(PLAY, copy, same_plays.ROOT, tmp_path, 0)
     assert found.base.exit_status == 0, found.base.last_words
     assert not found.same and found.differs_at is not None
-    shown = list(same_plays.lines_around(found.here.events, found.differs_at, 1))
+    shown = list(same_plays.lines_around(found.current.events, found.differs_at, 1))
     assert len(shown) == 2
 
 
--- a/tools/same_plays.py
+++ b/tools/same_plays.py
@@ -54,19 +54,19 @@
     Attributes:
         name: the name of the play.
         base: the outcome at the base commit.
-        here: the outcome in the working tree.
+        current: the outcome in the working tree.
         differs_at: the position of the first event that differs, or None.
     """
 
     name: str
     base: Outcome
-    here: Outcome
+    current: Outcome
     differs_at: int | None
 
     @property
     def same(self) -> bool:
         """Whether events and exit status are the same."""
-        return self.differs_at is None and self.base.exit_status == self.here.exit_status
+        return self.differs_at is None and self.base.exit_status == self.current.exit_status
 
 
 def extract(commit: str, folder: Path) -> None:
@@ -149,14 +149,19 @@
 
 
 def compare(
-    name: str, base: Path, here: Path, scratch: Path, index: int, outcome_folder: Path | None = None
+    name: str,
+    base: Path,
+    current: Path,
+    scratch: Path,
+    index: int,
+    outcome_folder: Path | None = None,
 ) -> Comparison:
     """Run one play in both trees, one after the other.
 
     Args:
         name: the name of the play.
         base: the tree of the base commit.
-        here: the working tree.
+        current: the working tree.
         scratch: the folder for the events.
         index: makes the names of the files in `scratch` unique.
         outcome_folder: the folder of the base's stored outcomes, if they are stored.
@@ -165,7 +170,7 @@
         base_outcome = play(base, name, scratch / f"{index}-base")
     else:
         base_outcome = stored_play(base, name, outcome_folder / re.sub(r"[^0-9a-z]+", "-", name))
-    outcome = play(here, name, scratch / f"{index}-here")
+    outcome = play(current, name, scratch / f"{index}-current")
     return Comparison(
         name, base_outcome, outcome, first_difference(base_outcome.events, outcome.events)
     )
@@ -180,16 +185,20 @@
 
 def print_comparison(comparison: Comparison, context: int) -> None:
     verdict = "same" if comparison.same else "DIFFERS"
-    if comparison.here.exit_status:
+    if comparison.current.exit_status:
         verdict += ", its checks fail"
-    times = f"{comparison.base.processor_s:6.1f} {comparison.here.processor_s:6.1f}"
-    print(f"{comparison.name:50} {comparison.here.count:7} events {times} s  {verdict}", flush=True)
+    times = f"{comparison.base.processor_s:6.1f} {comparison.current.processor_s:6.1f}"
+    print(
+        f"{comparison.name:50} {comparison.current.count:7} events {times} s  {verdict}", flush=True
+    )
     if comparison.differs_at is not None:
-        for side, outcome in (("base", comparison.base), ("here", comparison.here)):
+        for side, outcome in (("base", comparison.base), ("current", comparison.current)):
             for line in lines_around(outcome.events, comparison.differs_at, context):
                 print(f"    {side}: {line}")
-    if comparison.here.exit_status or comparison.base.exit_status:
-        print(f"    base: {comparison.base.last_words}\n    here: {comparison.here.last_words}")
+    if comparison.current.exit_status or comparison.base.exit_status:
+        print(
+            f"    base: {comparison.base.last_words}\n    current: {comparison.current.last_words}"
+        )
 
 
 def play_names(tree: Path) -> list[str]:
@@ -238,13 +247,13 @@
                 print_comparison(comparison, options.context)
                 comparisons.append(comparison)
     base_s = sum(comparison.base.processor_s for comparison in comparisons)
-    here_s = sum(comparison.here.processor_s for comparison in comparisons)
+    current_s = sum(comparison.current.processor_s for comparison in comparisons)
     differing = [comparison.name for comparison in comparisons if not comparison.same]
-    failed = [comparison.name for comparison in comparisons if comparison.here.exit_status]
-    events = sum(comparison.here.count for comparison in comparisons)
+    failed = [comparison.name for comparison in comparisons if comparison.current.exit_status]
+    events = sum(comparison.current.count for comparison in comparisons)
     print(
         f"{len(comparisons)} plays, {events} events, {len(differing)} differ, {len(failed)} fail; "
-        f"processor time {base_s:.1f} s before, {here_s:.1f} s after, ratio {here_s / base_s:.3f}"
+        f"processor time {base_s:.1f} s before, {current_s:.1f} s after, ratio {current_s / base_s:.3f}"
     )
     return 1 if differing or failed else 0
 
