--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -27,4 +27,8 @@
         rows.fit(few)
     more = [*few, *(few[0]._replace(size=size, value=2.0 * size) for size in (4, 5))]
     line = rows.fit(more)["thing"]
-    assert (round(line.base, 9), round(line.each, 9), round(line.fit, 9)) == (0.0, 2.0, 1.0)
+    assert (round(line.intercept, 9), round(line.slope, 9), round(line.r_squared, 9)) == (
+        0.0,
+        2.0,
+        1.0,
+    )
--- a/tools/capacity/__main__.py
+++ b/tools/capacity/__main__.py
@@ -1,9 +1,9 @@
-"""Measure what a controller takes at several sizes, and keep the tables of docs/CAPACITY.md.
+"""Measure a controller's costs at several sizes and maintain the tables of docs/CAPACITY.md.
 
-    PYTHONPATH=src:tools python -m capacity measure --run NAME [--kinds bytes steps memory]
-    PYTHONPATH=src:tools python -m capacity played --run NAME --seconds 150 1.0=REPORT.json ...
-PYTHONPATH=src:tools python -m capacity page      # write the tables of docs/CAPACITY.md anew
-PYTHONPATH=src:tools python -m capacity check     # exit status 1 if page and data disagree
+PYTHONPATH=src:tools python -m capacity measure --run NAME [--kinds bytes steps memory]
+PYTHONPATH=src:tools python -m capacity played --run NAME --seconds 150 1.0=REPORT.json ...
+PYTHONPATH=src:tools python -m capacity page      # update the tables of docs/CAPACITY.md
+PYTHONPATH=src:tools python -m capacity check     # exit status 1 if page and data differ
 """
 
 import argparse
@@ -14,50 +14,50 @@
 
 
 def main() -> int:
-    """Do what the command line asks for; the exit status."""
+    """Run the command line's command and return the exit status."""
     parser = argparse.ArgumentParser(prog="capacity", description=__doc__.splitlines()[0])
-    verbs = parser.add_subparsers(dest="verb", required=True)
-    measuring = verbs.add_parser("measure", help="measure at several sizes and keep the rows")
-    measuring.add_argument("--run", required=True, help="the name that the rows are kept under")
-    measuring.add_argument(
+    commands = parser.add_subparsers(dest="command", required=True)
+    measure_parser = commands.add_parser("measure", help="measure at several sizes, write the rows")
+    measure_parser.add_argument("--run", required=True, help="name of the run, stored in the rows")
+    measure_parser.add_argument(
         "--kinds",
         nargs="+",
         choices=measure.KINDS,
         default=list(measure.KINDS),
-        help="all without it",
+        help="default: all",
     )
-    playing = verbs.add_parser("played", help="keep what the bench's reports of copies counted")
-    playing.add_argument("--run", required=True, help="the name that the rows are kept under")
-    playing.add_argument("--seconds", type=float, required=True, help="how long each was played")
-    playing.add_argument(
+    played_parser = commands.add_parser("played", help="write the rows of bench reports")
+    played_parser.add_argument("--run", required=True, help="name of the run, stored in the rows")
+    played_parser.add_argument("--seconds", type=float, required=True, help="duration of each run")
+    played_parser.add_argument(
         "reports",
         nargs="+",
         metavar="TIMES=REPORT.json",
-        help="a report by how many times the site's size its copy had",
+        help="a report, by the size of its copy as a multiple of the site's size",
     )
-    verbs.add_parser("page", help="write the page's tables from the rows")
-    verbs.add_parser("check", help="compare the page's tables with the rows")
+    commands.add_parser("page", help="update the page's tables from the rows")
+    commands.add_parser("check", help="compare the page's tables with the rows")
     options = parser.parse_args()
-    if options.verb == "measure":
+    if options.command == "measure":
         for kind in options.kinds:
-            path = rows.DATA / f"{options.run}-{kind}.csv"
+            path = rows.DATA_FOLDER / f"{options.run}-{kind}.csv"
             rows.write(path, measure.KINDS[kind](options.run))
             print(f"wrote {path}")
         return 0
-    if options.verb == "played":
+    if options.command == "played":
         reports = dict(text.split("=", 1) for text in options.reports)
-        sized = {float(times): Path(path) for times, path in reports.items()}
-        path = rows.DATA / f"{options.run}-played.csv"
-        rows.write(path, bench_reports.rows(options.run, sized, options.seconds))
+        by_multiple = {float(multiple): Path(path) for multiple, path in reports.items()}
+        path = rows.DATA_FOLDER / f"{options.run}-played.csv"
+        rows.write(path, bench_reports.rows(options.run, by_multiple, options.seconds))
         print(f"wrote {path}")
         return 0
-    if options.verb == "page":
-        page.PAGE.write_text(page.filled(page.PAGE.read_text()))
+    if options.command == "page":
+        page.PAGE.write_text(page.fill_tables(page.PAGE.read_text()))
         return 0
-    wrong = page.differences(page.PAGE.read_text())
-    for name in wrong:
-        print(f"{page.PAGE.name}: the table {name!r} is not what the rows give", file=sys.stderr)
-    return 1 if wrong else 0
+    outdated = page.differences(page.PAGE.read_text())
+    for name in outdated:
+        print(f"{page.PAGE.name}: the table {name!r} differs from the rows", file=sys.stderr)
+    return 1 if outdated else 0
 
 
 if __name__ == "__main__":
--- a/tools/capacity/page.py
+++ b/tools/capacity/page.py
@@ -1,70 +1,70 @@
-"""The tables of docs/CAPACITY.md, worked out from the rows in docs/capacity/."""
+"""The tables of docs/CAPACITY.md, computed from the rows in docs/capacity/."""
 
 import re
 from collections.abc import Callable
 from pathlib import Path
 
-from capacity.roles import role_lines
+from capacity.roles import role_rows
 from capacity.rows import Row, fit, read
 
 PAGE = Path(__file__).resolve().parents[2] / "docs" / "CAPACITY.md"
-PLAYED = "times the site's size"
+# What is varied in the rows of runs of the bench.
+BENCH_VARIED = "times the site's size"
 _TABLE = re.compile(r"(<!-- table: (?P<name>[a-z ]+) -->\n).*?(<!-- end -->)", re.DOTALL)
 
 
-def number(value: float) -> str:
-    """A figure with three digits that count."""
+def format_number(value: float) -> str:
+    """Format a number with three significant digits, or as an integer from 100."""
     if value == 0 or abs(value) >= 100:
         return f"{value:,.0f}"
     return f"{value:.3g}"
 
 
-def table(heads: list[str], lines: list[list[str]]) -> str:
-    """A table in Markdown."""
-    rows = [heads, ["---"] * len(heads), *lines]
+def markdown_table(header: list[str], lines: list[list[str]]) -> str:
+    rows = [header, ["---"] * len(header), *lines]
     return "".join(f"| {' | '.join(row)} |\n" for row in rows)
 
 
 def slopes_table(rows: list[Row]) -> str:
-    """Each quantity that was measured in process, as a line over what was varied."""
+    """Return the table of linear fits of all quantities except those counted by the bench."""
     lines = [
         [
-            slope.quantity,
-            slope.varied,
-            number(slope.base),
-            number(slope.each),
-            slope.unit,
-            f"{slope.fit:.3f}",
-            f"{slope.sizes[0]:g} to {slope.sizes[-1]:g}",
-            slope.run,
+            line.quantity,
+            line.varied,
+            format_number(line.intercept),
+            format_number(line.slope),
+            line.unit,
+            f"{line.r_squared:.3f}",
+            f"{line.sizes[0]:g} to {line.sizes[-1]:g}",
+            line.run,
         ]
-        for slope in fit(row for row in rows if row.varied != PLAYED).values()
+        for line in fit(row for row in rows if row.varied != BENCH_VARIED).values()
     ]
-    heads = ["quantity", "over", "base", "each", "unit", "fit (r²)", "sizes", "run"]
-    return table(heads, lines)
+    header = ["quantity", "over", "base", "each", "unit", "fit (r²)", "sizes", "run"]
+    return markdown_table(header, lines)
 
 
 def played_table(rows: list[Row]) -> str:
-    """What was counted when the bench played copies of a site, by their size."""
-    played = [row for row in rows if row.varied == PLAYED]
-    sizes = sorted({row.size for row in played})
+    """Return the table of quantities counted by the bench on copies of a site, by size."""
+    bench_rows = [row for row in rows if row.varied == BENCH_VARIED]
+    sizes = sorted({row.size for row in bench_rows})
     lines = []
-    for quantity in dict.fromkeys(row.quantity for row in played):
-        found = {row.size: row for row in played if row.quantity == quantity}
-        unit = next(iter(found.values())).unit
-        values = [number(found[size].value) if size in found else "" for size in sizes]
+    for quantity in dict.fromkeys(row.quantity for row in bench_rows):
+        by_size = {row.size: row for row in bench_rows if row.quantity == quantity}
+        unit = next(iter(by_size.values())).unit
+        values = [format_number(by_size[size].value) if size in by_size else "" for size in sizes]
         lines.append([f"{quantity} ({unit})", *values])
-    return table(["copy", *(f"x{size:g}" for size in sizes)], lines)
+    return markdown_table(["copy", *(f"x{size:g}" for size in sizes)], lines)
 
 
 def roles_table(rows: list[Row]) -> str:
-    """Each role at the size: what it does and what that takes, beside its limit."""
-    slopes = fit(row for row in rows if row.varied != PLAYED)
+    """Return the table of the load of each role at the design size, with its limits."""
+    fits = fit(row for row in rows if row.varied != BENCH_VARIED)
     lines = [
-        [line.role, line.what, number(line.value), line.unit, line.limit, line.mechanism]
-        for line in role_lines(slopes)
+        [row.role, row.quantity, format_number(row.value), row.unit, row.limit, row.mechanism]
+        for row in role_rows(fits)
     ]
-    return table(["role", "what", "at the peak", "unit", "limit", "mechanism"], lines)
+    return markdown_table(["role", "what", "at the peak", "unit", "limit", "mechanism"], lines)
 
 
 TABLES: dict[str, Callable[[list[Row]], str]] = {
@@ -74,22 +74,22 @@
 }
 
 
-def filled(text: str, rows: list[Row] | None = None) -> str:
-    """The page with its tables written anew."""
-    known = read() if rows is None else rows
+def fill_tables(text: str, rows: list[Row] | None = None) -> str:
+    """Return the page with its tables computed from the rows, by default those on disk."""
+    source = read() if rows is None else rows
 
-    def put(found: re.Match[str]) -> str:
-        return f"{found[1]}{TABLES[found['name']](known)}{found[3]}"
+    def replace(match: re.Match[str]) -> str:
+        return f"{match[1]}{TABLES[match['name']](source)}{match[3]}"
 
-    return _TABLE.sub(put, text)
+    return _TABLE.sub(replace, text)
 
 
 def differences(text: str) -> list[str]:
-    """The tables of a page that are not what the rows give, and those that it lacks."""
-    known = read()
-    there = {found["name"]: found[0] for found in _TABLE.finditer(text)}
+    """Return the names of the tables that a page lacks or that differ from the rows on disk."""
+    rows = read()
+    present = {match["name"]: match[0] for match in _TABLE.finditer(text)}
     return [
         name
         for name, make in TABLES.items()
-        if there.get(name) != f"<!-- table: {name} -->\n{make(known)}<!-- end -->"
+        if present.get(name) != f"<!-- table: {name} -->\n{make(rows)}<!-- end -->"
     ]
--- a/tools/capacity/roles.py
+++ b/tools/capacity/roles.py
@@ -1,27 +1,34 @@
-"""What each role takes at the size of `capacity.size`, worked out from fitted slopes.
+"""The load of each role at the size of `capacity.size`, computed from linear fits.
 
-Slopes have the names of the recorded quantities (docs/capacity/).
+The fits are named like the recorded quantities (docs/capacity/).
 """
 
 from collections.abc import Iterator, Mapping
 from typing import NamedTuple
 
-from capacity.rows import Slope
-from capacity.size import CHANGE_S, CORE_SHARE, MEMORY_MB, REPORT_S, SIZE, STATE
-
-# What the copies of ub-enrol-fleet showed: tasks of a job, and starts that share a change.
-TASKS_A_JOB = 40
-STARTS_A_CHANGE = 13.0
-# A start and an end of a task are each written once.
-WRITTEN_PER_TASK = 2
+from capacity.rows import LinearFit
+from capacity.size import (
+    CORE_SHARE,
+    HEARTBEAT_INTERVAL_S,
+    MEMORY_MB,
+    MIN_HEARTBEAT_INTERVAL_S,
+    SIZE,
+    STORE_LIMITS,
+)
+
+# Tasks of a job, and task starts committed by one write, at the site ub-enrol-fleet.
+TASKS_PER_JOB = 40
+STARTS_PER_WRITE = 13.0
+# One for the start and one for the end.
+WRITES_PER_TASK = 2
 MISSING = "**missing**"
 
 
-class Line(NamedTuple):
-    """One figure of a role."""
+class RoleRow(NamedTuple):
+    """One row of the table of roles."""
 
     role: str
-    what: str
+    quantity: str
     value: float
     unit: str
     limit: str
@@ -29,35 +36,38 @@
 
 
 def heartbeats_per_s() -> float:
-    """Heartbeats of one worker each second at the peak: by the clock, and for changes of its tasks.
+    """Return the heartbeats of a worker per second at the peak, periodic and on change.
 
-    A change is sent at once, but not within `CHANGE_S` of the heartbeat before.
+    A change of a task is sent at once, but at least `MIN_HEARTBEAT_INTERVAL_S` after the previous
+    heartbeat.
     """
     changes = 2 * SIZE.starts_per_s / SIZE.workers
-    return 1 / REPORT_S + changes / (1 + changes * CHANGE_S)
+    return 1 / HEARTBEAT_INTERVAL_S + changes / (1 + changes * MIN_HEARTBEAT_INTERVAL_S)
 
 
-def role_lines(slopes: Mapping[str, Slope]) -> Iterator[Line]:
-    """The lines of the table, role by role."""
-    yield from _worker(slopes)
-    yield from _agent_service(slopes)
-    yield from _scheduler(slopes)
-    yield from _member(slopes)
-    yield from _store(slopes)
-    yield from _start(slopes)
+def role_rows(fits: Mapping[str, LinearFit]) -> Iterator[RoleRow]:
+    """Yield the rows of the table of roles."""
+    yield from _worker(fits)
+    yield from _agent_service(fits)
+    yield from _scheduler(fits)
+    yield from _member(fits)
+    yield from _store(fits)
+    yield from _start(fits)
 
 
-def _worker(slopes: Mapping[str, Slope]) -> Iterator[Line]:
+def _worker(fits: Mapping[str, LinearFit]) -> Iterator[RoleRow]:
     tasks = SIZE.tasks_per_worker
     starts = SIZE.starts_per_s / SIZE.workers
-    around = slopes["HTTP around a report and its answer"].base
-    heartbeat = slopes["report"].at(tasks) + around
-    command = slopes["commands"].at(1) + slopes["report"].at(tasks) + around
-    each_s = heartbeats_per_s() * heartbeat + starts * command
+    overhead = fits["HTTP around a report and its answer"].intercept
+    heartbeat = fits["report"].value_at(tasks) + overhead
+    command = fits["commands"].value_at(1) + fits["report"].value_at(tasks) + overhead
+    bytes_per_s = heartbeats_per_s() * heartbeat + starts * command
     limit = f"{SIZE.worker_bytes_per_s:,.0f}"
     mechanism = "heartbeats on change at most every half second; commands sent directly"
-    yield Line("worker, control part", "bytes a second", each_s, "bytes/s", limit, mechanism)
-    yield Line(
+    yield RoleRow(
+        "worker, control part", "bytes a second", bytes_per_s, "bytes/s", limit, mechanism
+    )
+    yield RoleRow(
         "worker, control part",
         "messages a second",
         heartbeats_per_s() + starts,
@@ -67,97 +77,107 @@
     )
 
 
-def _agent_service(slopes: Mapping[str, Slope]) -> Iterator[Line]:
+def _agent_service(fits: Mapping[str, LinearFit]) -> Iterator[RoleRow]:
     workers, tasks = SIZE.workers_per_controller, SIZE.tasks_per_worker
     heartbeats = workers * heartbeats_per_s()
     commands = SIZE.starts_per_s / SIZE.controllers
-    exchange = slopes["request read and answered"].at(slopes["report"].at(tasks))
-    read = slopes["report parsed"].at(tasks) + slopes["report answered"].at(tasks)
+    exchange = fits["request read and answered"].value_at(fits["report"].value_at(tasks))
+    read = fits["report parsed"].value_at(tasks) + fits["report answered"].value_at(tasks)
     steps = heartbeats * (exchange + read) + commands * (exchange + read)
     assignment = "workers assigned with bounded loads (membership)"
-    yield Line("agent service", "heartbeats", heartbeats, "1/s each", "", assignment)
-    yield Line("agent service", "commands sent", commands, "1/s each", "", "one for each start")
-    yield _processor("agent service", "without sockets and event loop", steps, slopes, assignment)
+    yield RoleRow("agent service", "heartbeats", heartbeats, "1/s each", "", assignment)
+    yield RoleRow("agent service", "commands sent", commands, "1/s each", "", "one for each start")
+    yield _processor("agent service", "without sockets and event loop", steps, fits, assignment)
 
 
-def _scheduler(slopes: Mapping[str, Slope]) -> Iterator[Line]:
-    rounds = 8.0  # a round each eighth of a second where urgent work waits
-    planned = slopes["round of planning that starts 24 tasks"].at(SIZE.workers)
+def _scheduler(fits: Mapping[str, LinearFit]) -> Iterator[RoleRow]:
+    rounds_per_s = 8.0  # while urgent tasks are pending
+    planned = fits["round of planning that starts 24 tasks"].value_at(SIZE.workers)
     yield _processor(
-        "scheduler of teams", "eight rounds of planning a second", rounds * planned, slopes,
+        "scheduler of teams", "eight rounds of planning a second", rounds_per_s * planned, fits,
         "machines by likeness, bounded samples",
     )  # fmt: skip
-    changes = _changes_per_s()
-    own = changes / SIZE.controllers
-    evaluated = slopes["change evaluated and written"].at(TASKS_A_JOB)
+    writes = _writes_per_s()
+    own = writes / SIZE.controllers
+    evaluated = fits["change evaluated and written"].value_at(TASKS_PER_JOB)
     yield _processor(
-        "scheduler of teams", "own changes evaluated", own * evaluated, slopes, "one change a job"
+        "scheduler of teams", "own changes evaluated", own * evaluated, fits, "one change a job"
     )
-    read = slopes["change read by another"].at(TASKS_A_JOB)
+    read = fits["change read by another"].value_at(TASKS_PER_JOB)
     yield _processor(
-        "scheduler of teams", "all others' changes read", (changes - own) * read, slopes,
+        "scheduler of teams", "all others' changes read", (writes - own) * read, fits,
         "every controller reads every record",
     )  # fmt: skip
 
 
-def _member(slopes: Mapping[str, Slope]) -> Iterator[Line]:
-    heartbeats = 6 / REPORT_S * (SIZE.controllers - 1)
-    size = slopes["beat"].at(SIZE.controllers)
-    yield Line(
-        "member", "bytes of heartbeats sent", heartbeats * size, "bytes/s each", "", "full mesh"
+def _member(fits: Mapping[str, LinearFit]) -> Iterator[RoleRow]:
+    heartbeats = 6 / HEARTBEAT_INTERVAL_S * (SIZE.controllers - 1)
+    message_bytes = fits["beat"].value_at(SIZE.controllers)
+    yield RoleRow(
+        "member",
+        "bytes of heartbeats sent",
+        heartbeats * message_bytes,
+        "bytes/s each",
+        "",
+        "full mesh",
     )
-    jobs = SIZE.running_tasks / TASKS_A_JOB
-    kept_bytes = jobs * slopes["a job with one live task"].each
-    kept_bytes += SIZE.running_tasks * slopes["a live task of a job"].each
-    kept_bytes += SIZE.workers * slopes["a worker"].each
-    yield Line(
+    jobs = SIZE.running_tasks / TASKS_PER_JOB
+    memory_bytes = jobs * fits["a job with one live task"].slope
+    memory_bytes += SIZE.running_tasks * fits["a live task of a job"].slope
+    memory_bytes += SIZE.workers * fits["a worker"].slope
+    yield RoleRow(
         "member",
         "memory of records and workers",
-        kept_bytes / 1e6,
+        memory_bytes / 1e6,
         "MB each",
         f"{MEMORY_MB:g}",
         "one copy each",
     )
-    restart = slopes["records read at a start"].at(jobs) * _reference_s(slopes)
-    yield Line(
-        "member", "records read at a start", restart, "s of processor", "3 s", "in pages of 500"
+    load_s = fits["records read at a start"].value_at(jobs) * _reference_s(fits)
+    yield RoleRow(
+        "member", "records read at a start", load_s, "s of processor", "3 s", "in pages of 500"
     )
 
 
-def _changes_per_s() -> float:
-    return WRITTEN_PER_TASK * SIZE.starts_per_s / STARTS_A_CHANGE
+def _writes_per_s() -> float:
+    return WRITES_PER_TASK * SIZE.starts_per_s / STARTS_PER_WRITE
 
 
-def _store(slopes: Mapping[str, Slope]) -> Iterator[Line]:
-    for limits in STATE:
-        yield Line(
-            "state service", f"changes for starts and ends ({limits.name})", _changes_per_s(),
-            "1/s", f"{limits.changes_per_s:g}", MISSING,
+def _store(fits: Mapping[str, LinearFit]) -> Iterator[RoleRow]:
+    for limits in STORE_LIMITS:
+        yield RoleRow(
+            "state service", f"changes for starts and ends ({limits.name})", _writes_per_s(),
+            "1/s", f"{limits.writes_per_s:g}", MISSING,
         )  # fmt: skip
-    value = slopes["job record"].at(TASKS_A_JOB)
-    yield Line(
-        "state service", "bytes written for that", _changes_per_s() * value, "bytes/s", "", MISSING
+    record_bytes = fits["job record"].value_at(TASKS_PER_JOB)
+    yield RoleRow(
+        "state service",
+        "bytes written for that",
+        _writes_per_s() * record_bytes,
+        "bytes/s",
+        "",
+        MISSING,
     )
-    yield Line(
+    yield RoleRow(
         "state service", "team assignments read and written at a failover",
         SIZE.teams / SIZE.controllers, "records", "12 or 32 a transaction", "failover in pieces",
     )  # fmt: skip
 
 
-def _start(slopes: Mapping[str, Slope]) -> Iterator[Line]:
-    each = SIZE.controllers * CORE_SHARE / SIZE.starts_per_s
-    yield Line(
-        "all controllers", "processor time that a start and its end may take", 1000 * each, "ms",
-        "see the table of copies", MISSING,
+def _start(fits: Mapping[str, LinearFit]) -> Iterator[RoleRow]:
+    processor_s = SIZE.controllers * CORE_SHARE / SIZE.starts_per_s
+    yield RoleRow(
+        "all controllers", "processor time that a start and its end may take", 1000 * processor_s,
+        "ms", "see the table of copies", MISSING,
     )  # fmt: skip
 
 
-def _reference_s(slopes: Mapping[str, Slope]) -> float:
-    return slopes["reference step"].base / 1e6
+def _reference_s(fits: Mapping[str, LinearFit]) -> float:
+    return fits["reference step"].intercept / 1e6
 
 
 def _processor(
-    role: str, what: str, steps: float, slopes: Mapping[str, Slope], mechanism: str
-) -> Line:
-    share = steps * _reference_s(slopes)
-    return Line(role, what, share, "core each", f"{CORE_SHARE:g}", mechanism)
+    role: str, quantity: str, steps: float, fits: Mapping[str, LinearFit], mechanism: str
+) -> RoleRow:
+    core_share = steps * _reference_s(fits)
+    return RoleRow(role, quantity, core_share, "core each", f"{CORE_SHARE:g}", mechanism)
--- a/tools/capacity/size.py
+++ b/tools/capacity/size.py
@@ -1,10 +1,10 @@
-"""The size that the design is for, in two years, and the limits beside it."""
+"""The cluster size that the design targets, and the limits of a deployment."""
 
 from typing import NamedTuple
 
 
 class Size(NamedTuple):
-    """What the users expect at the peak, and what control may use."""
+    """The expected peak load in two years, and the resources that the control plane may use."""
 
     workers: int = 1300
     running_tasks: int = 8600
@@ -25,39 +25,39 @@
 
     @property
     def workers_per_controller(self) -> float:
-        """Workers that report to each controller while all are well."""
+        """The average number of workers that send heartbeats to a controller."""
         return self.workers / self.controllers
 
     @property
     def tasks_per_worker(self) -> float:
-        """Running tasks on each worker."""
+        """The average number of running tasks on a worker."""
         return self.running_tasks / self.workers
 
     @property
     def task_s(self) -> float:
-        """How long a task runs at the peak, in seconds, by Little's law."""
+        """The average duration of a task at the peak, in seconds, by Little's law."""
         return self.running_tasks / self.starts_per_s
 
 
 SIZE = Size()
-# How often a worker reports at least, in seconds, and how close together it may report a change
-# (the larger deployment of today, and the protocol).
-REPORT_S, CHANGE_S = 2.5, 0.5
+# Maximum and minimum interval between the heartbeats of a worker, in seconds: the setting of the
+# larger deployment, and the limit of the protocol for heartbeats on change.
+HEARTBEAT_INTERVAL_S, MIN_HEARTBEAT_INTERVAL_S = 2.5, 0.5
 
 
-class StateLimits(NamedTuple):
-    """What a deployment's state service takes today."""
+class StoreLimits(NamedTuple):
+    """The limits of a deployment's key-value store."""
 
     name: str
     requests_per_s: float
-    changes_per_s: float
+    writes_per_s: float
     value_kb: float
-    changes_per_transaction: int
+    writes_per_transaction: int
 
 
-STATE = (
-    StateLimits("small values", 300.0, 20.0, 8.0, 12),
-    StateLimits("large values", 250.0, 70.0, 16.0, 32),
+STORE_LIMITS = (
+    StoreLimits("small values", 300.0, 20.0, 8.0, 12),
+    StoreLimits("large values", 250.0, 70.0, 16.0, 32),
 )
-# The processor time and memory of a controller there: share of a core, MB.
+# Processor time, as a share of a core, and memory in MB that a controller may use.
 CORE_SHARE, MEMORY_MB = 0.72, 251.0
--- a/tools/same_plays.py
+++ b/tools/same_plays.py
@@ -253,7 +253,8 @@
     events = sum(comparison.current.count for comparison in comparisons)
     print(
         f"{len(comparisons)} plays, {events} events, {len(differing)} differ, {len(failed)} fail; "
-        f"processor time {base_s:.1f} s before, {current_s:.1f} s after, ratio {current_s / base_s:.3f}"
+        f"processor time {base_s:.1f} s before, {current_s:.1f} s after, "
+        f"ratio {current_s / base_s:.3f}"
     )
     return 1 if differing or failed else 0
 
