--- a/tools/capacity/__init__.py
+++ b/tools/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Measures what each part of a controller costs, fits slopes, and keeps the tables of a page."""
+"""Measures the costs of a controller's parts, fits them linearly, and maintains a page's tables."""
--- a/tools/capacity/bench_reports.py
+++ b/tools/capacity/bench_reports.py
@@ -1,4 +1,4 @@
-"""Rows from days that the users' bench ran on copies of a site at several sizes."""
+"""Rows from bench reports of runs on copies of a site at several sizes."""
 
 import json
 from collections.abc import Iterator
@@ -8,19 +8,22 @@
 
 
 def rows(run: str, reports: dict[float, Path], duration_s: float) -> Iterator[Row]:
-    """What was counted on each copy, by how many times the site's size it is.
+    """Yield the quantities counted in each report.
 
-    Each ran for `duration_s` seconds.
+    Args:
+        run: the name of the run.
+        reports: the reports, by the size of the copy as a multiple of the site's size.
+        duration_s: the duration of each run, in seconds.
     """
-    for times, path in sorted(reports.items()):
+    for multiple, path in sorted(reports.items()):
         report = json.loads(path.read_text())
         started = report["fleet"]["tasks_started"]
         nodes = report["node_stats"]
-        seconds = sum(report["spent"]["processes"])
+        processor_s = sum(report["spent"]["processes"])
         state = report["state"]
-        found = {
+        values = {
             ("tasks started a second", "tasks/s"): started / duration_s,
-            ("processor time by started task", "ms"): 1000 * seconds / max(1, started),
+            ("processor time by started task", "ms"): 1000 * processor_s / max(1, started),
             ("changes by started task", "changes"): state["writes"] / max(1, started),
             ("changes of the state service", "changes/s"): state["writes"] / duration_s,
             ("requests to the state service", "requests/s"): state["requests"] / duration_s,
@@ -30,5 +33,5 @@
             ("sent between controllers", "MB"): sum(n["peer_mb"] for n in nodes),
             ("workers", "workers"): float(report["machines"]),
         }
-        for (quantity, unit), value in found.items():
-            yield Row(run, quantity, "times the site's size", times, round(value, 6), unit)
+        for (quantity, unit), value in values.items():
+            yield Row(run, quantity, "times the site's size", multiple, round(value, 6), unit)
--- a/tools/capacity/controller_state.py
+++ b/tools/capacity/controller_state.py
@@ -1,4 +1,4 @@
-"""A controller's state at a chosen size: machines, jobs and committed starts, by the real code."""
+"""Builds the state of a controller at a given size: machines, jobs and committed starts."""
 
 from random import Random
 from typing import NamedTuple
@@ -47,7 +47,7 @@
 
 
 class ControllerState(NamedTuple):
-    """One controller's cache of the records, and what it plans from."""
+    """The cached records of a controller and the components that use them."""
 
     cache: StateCache
     cluster_view: ClusterView
@@ -57,7 +57,7 @@
 
 
 def platform(teams: int, controllers: int, value_kb: float = 8.0) -> Platform:
-    """Settings of a deployment of some size."""
+    """Return the settings of a deployment."""
     return Platform(
         node_name=NODE,
         location=ZONES[0],
@@ -75,12 +75,11 @@
 
 
 def team_name(number: int) -> str:
-    """The name of a team."""
     return f"team-{number:03d}"
 
 
 def job_spec(number: int, tasks: int, team: int = 0) -> JobSpec:
-    """An array of ordinary tasks."""
+    """Return the specification of a job array."""
     return JobSpec(
         f"job-{number:06d}", "batch", team_name(team), ARRAY, NORMAL, tasks, TASK_CPUS, 0.0, 2.0,
         f"img-{number % 31}", 1.0, None, None, False, False, True, 8.0, 0.0, 0.0, 60.0,
@@ -88,12 +87,11 @@
 
 
 def machine_name(number: int) -> str:
-    """The name of a machine."""
     return f"vm-{number:06d}"
 
 
 def heartbeat(number: int, entries: list[TaskStatus], seq: int = 1) -> AgentHeartbeat:
-    """A heartbeat with the status of a machine's tasks."""
+    """Return the heartbeat of a machine with the status of its tasks."""
     name, zone = machine_name(number), ZONES[number % len(ZONES)]
     return AgentHeartbeat(
         name, f"{name}:9000", TYPE.name, zone, True, 1, seq, FENCING_TOKEN, None, tuple(entries)
@@ -103,7 +101,7 @@
 def build(
     machines: int, teams: int = 1, controllers: int = 9, value_kb: float = 8.0
 ) -> ControllerState:
-    """The state with so many machines that report to this controller, and no jobs."""
+    """Return a state without jobs, with machines that send heartbeats to this controller."""
     cache, reconciler, gate = StateCache(), Reconciler(), Gate()
     cache.machine_types[TYPE.name] = TYPE
     settings = Settings(platform(teams, controllers, value_kb))
@@ -112,19 +110,19 @@
     cluster_view = ClusterView(settings, cache, reconciler, lease_expiry, gate)
     reconciler.adopt_fencing_token(FENCING_TOKEN)
     for number in range(machines):
-        heard = reconciler.receive_heartbeat(heartbeat(number, []), 0.0, direct=False)
-        cluster_view.record_heartbeat(heard.agent)
+        response = reconciler.receive_heartbeat(heartbeat(number, []), 0.0, direct=False)
+        cluster_view.record_heartbeat(response.agent)
     limits = StoreLimits(settings.platform.deployment.state, cache)
-    records: list[tuple[str, object]] = [(SCHEMA_VERSION_KEY, schema_version_value(SCHEMA_V2))]
-    records += [(TEAM_PREFIX + team_name(n), assignment_value(ASSIGNMENT)) for n in range(teams)]
-    apply(cache, records)
+    items: list[tuple[str, object]] = [(SCHEMA_VERSION_KEY, schema_version_value(SCHEMA_V2))]
+    items += [(TEAM_PREFIX + team_name(n), assignment_value(ASSIGNMENT)) for n in range(teams)]
+    apply(cache, items)
     return ControllerState(
         cache, cluster_view, Planner(cluster_view, limits, Random(1)), limits, reconciler
     )
 
 
 def apply(cache: StateCache, changes: list[tuple[str, object]]) -> None:
-    """Apply changes as if the store had just committed them."""
+    """Apply changes as a commit of the store does."""
     revision = cache.revision + 1
     cache.apply_own_commit(revision, changes)
     cache.apply(revision, [])
@@ -133,7 +131,7 @@
 def add_jobs(
     state: ControllerState, jobs: int, tasks: int, first: int = 0, teams: int = 1
 ) -> list[str]:
-    """Accept so many jobs of so many tasks."""
+    """Commit the submission of jobs with a number of tasks each, and return their ids."""
     ids = []
     for number in range(first, first + jobs):
         transaction = Transaction(state.cache)
@@ -145,7 +143,7 @@
 
 
 def start_all(state: ControllerState, job_ids: list[str], machines: int) -> None:
-    """Commit a start for each waiting task, spread over the machines in turn."""
+    """Commit a start of each pending task, on the machines in rotation."""
     number = 0
     for job_id in job_ids:
         placements = []
@@ -161,5 +159,5 @@
 
 
 def encoded(value: object) -> bytes:
-    """A record as the store keeps it."""
+    """Return the encoding of a record in the store."""
     return msgspec.json.encode(value)
--- a/tools/capacity/measure.py
+++ b/tools/capacity/measure.py
@@ -1,4 +1,4 @@
-"""The measurements by kind; each gives the rows of a run by its name."""
+"""The measurements, by kind."""
 
 from collections.abc import Callable, Iterator
 
@@ -7,6 +7,7 @@
 from capacity.rows import Row
 from capacity.step_times import times_of_steps
 
+# Measures and yields the rows of a run, given its name.
 Measurement = Callable[[str], Iterator[Row]]
 
 KINDS: dict[str, Measurement] = {
--- a/tools/capacity/memory_use.py
+++ b/tools/capacity/memory_use.py
@@ -1,4 +1,4 @@
-"""Memory that the state of a controller takes, in bytes.
+"""Memory use of a controller's state, in bytes.
 
 Quantities keep the names under which the rows in docs/capacity/ were recorded.
 """
@@ -14,44 +14,49 @@
 
 
 def memory_use(run: str) -> Iterator[Row]:
-    """Bytes of memory that jobs, tasks and workers take in a controller."""
+    """Yield the memory use of jobs, tasks and workers in a controller."""
 
     def row(quantity: str, varied: str, size: float, value: float) -> Row:
         return Row(run, quantity, varied, size, value, "bytes of memory")
 
     for jobs in (100, 300, 600, 1000, 1500):
-        yield row("a job with one live task", "live jobs", jobs, _kept_bytes(partial(_jobs, jobs)))
+        yield row(
+            "a job with one live task",
+            "live jobs",
+            jobs,
+            _retained_bytes(partial(_state_with_jobs, jobs)),
+        )
     for tasks in (100, 200, 400, 800, 1000):
-        kept = _kept_bytes(partial(_one_job, tasks))
-        yield row("a live task of a job", "live tasks", tasks, kept)
+        retained = _retained_bytes(partial(_state_with_one_job, tasks))
+        yield row("a live task of a job", "live tasks", tasks, retained)
     for machines in (100, 300, 600, 1000, 1300):
         yield row(
             "a worker",
             "workers",
             machines,
-            _kept_bytes(partial(controller_state.build, machines)),
+            _retained_bytes(partial(controller_state.build, machines)),
         )
 
 
-def _jobs(number: int) -> ControllerState:
-    built = controller_state.build(1)
-    controller_state.start_all(built, controller_state.add_jobs(built, number, 1), 100)
-    return built
+def _state_with_jobs(jobs: int) -> ControllerState:
+    state = controller_state.build(1)
+    controller_state.start_all(state, controller_state.add_jobs(state, jobs, 1), 100)
+    return state
 
 
-def _one_job(tasks: int) -> ControllerState:
-    built = controller_state.build(1)
-    controller_state.start_all(built, controller_state.add_jobs(built, 1, tasks), 100)
-    return built
+def _state_with_one_job(tasks: int) -> ControllerState:
+    state = controller_state.build(1)
+    controller_state.start_all(state, controller_state.add_jobs(state, 1, tasks), 100)
+    return state
 
 
-def _kept_bytes(make: Callable[[], object]) -> float:
-    """The bytes that an object keeps."""
+def _retained_bytes(make: Callable[[], object]) -> float:
+    """Return the memory allocated by the creation of an object and retained by it, in bytes."""
     gc.collect()
     tracemalloc.start()
-    made = make()
+    retained = make()
     gc.collect()
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    del made
+    del retained
     return float(size)
--- a/tools/capacity/step_times.py
+++ b/tools/capacity/step_times.py
@@ -1,4 +1,4 @@
-"""Processor time of the steps of a controller, in reference steps.
+"""Processor time of a controller's operations, in reference steps.
 
 Quantities keep the names under which the rows in docs/capacity/ were recorded.
 """
@@ -25,43 +25,48 @@
 
 
 def times_of_steps(run: str) -> Iterator[Row]:
-    """Processor time of the steps that the load is made of, in reference steps."""
-    watch = Stopwatch()
+    """Yield the processor time of each kind of operation."""
+    stopwatch = Stopwatch()
 
     def row(quantity: str, varied: str, size: float, value: float) -> Row:
         return Row(run, quantity, varied, size, value, "steps")
 
     for tasks in (0, 4, 8, 16, 32):
         body = heartbeat_body(tasks)
-        parsed = watch.steps(partial(_parse, body), 300)
+        parsed = stopwatch.steps(partial(_parse, body), 300)
         yield row("report parsed", "tasks on the worker", tasks, parsed)
-        yield row("report answered", "tasks on the worker", tasks, _answered(watch, tasks))
+        yield row(
+            "report answered",
+            "tasks on the worker",
+            tasks,
+            _heartbeat_response_time(stopwatch, tasks),
+        )
     for size in (0, 400, 800, 1600, 3200):
         exchange = http_exchange(request_bytes(bytes(size)), Response(200, bytes(100)))
         yield row(
-            "request read and answered", "bytes of the body", size, watch.steps(exchange, 300)
+            "request read and answered", "bytes of the body", size, stopwatch.steps(exchange, 300)
         )
     for tasks in (10, 50, 100, 200, 400):
-        evaluated, read = _change(watch, tasks)
+        evaluated, read = _change_times(stopwatch, tasks)
         yield row("change evaluated and written", "live tasks", tasks, evaluated)
         yield row("change read by another", "live tasks", tasks, read)
     for machines in (100, 300, 600, 1000, 1300):
-        planned, nothing, rented = _rounds(watch, machines)
+        planned, without_capacity, scaled = _planning_times(stopwatch, machines)
         yield row("round of planning that starts 24 tasks", "workers", machines, planned)
-        yield row("round of planning without room", "workers", machines, nothing)
-        yield row("round of renting", "workers", machines, rented)
+        yield row("round of planning without room", "workers", machines, without_capacity)
+        yield row("round of renting", "workers", machines, scaled)
     for jobs in (100, 300, 600, 1000, 1500):
-        yield row("records read at a start", "live jobs", jobs, _restart(watch, jobs))
-    seconds = watch.reference_s
+        yield row("records read at a start", "live jobs", jobs, _record_load_time(stopwatch, jobs))
+    reference_s = stopwatch.reference_s
     for size in range(1, 6):
-        yield Row(run, "reference step", "nothing", size, seconds * 1e6, "microseconds")
+        yield Row(run, "reference step", "nothing", size, reference_s * 1e6, "microseconds")
 
 
-def _answered(watch: Stopwatch, tasks: int) -> float:
-    """The commands and ends that follow from a heartbeat of a worker with so many tasks."""
-    built = controller_state.build(1)
-    ids = controller_state.add_jobs(built, max(1, tasks), 1)
-    controller_state.start_all(built, ids[:tasks], 1)
+def _heartbeat_response_time(stopwatch: Stopwatch, tasks: int) -> float:
+    """Measure the processing of a heartbeat into commands and proved ends of tasks."""
+    state = controller_state.build(1)
+    ids = controller_state.add_jobs(state, max(1, tasks), 1)
+    controller_state.start_all(state, ids[:tasks], 1)
     seq = 1
 
     def step() -> None:
@@ -69,31 +74,31 @@
         seq += 1
         running = [TaskStatus(name, 0, 1, "running", "", False) for name in ids[:tasks]]
         heartbeat = controller_state.heartbeat(0, running, seq)
-        agent = built.reconciler.receive_heartbeat(heartbeat, 1.0, direct=False).agent
-        built.cluster_view.record_heartbeat(agent)
+        agent = state.reconciler.receive_heartbeat(heartbeat, 1.0, direct=False).agent
+        state.cluster_view.record_heartbeat(agent)
         agent.synced = True
-        built.reconciler.proved_ends(agent, built.cache)
-        built.reconciler.response_commands(agent, built.cache)
+        state.reconciler.proved_ends(agent, state.cache)
+        state.reconciler.response_commands(agent, state.cache)
 
-    return watch.steps(step, 100)
+    return stopwatch.steps(step, 100)
 
 
-def _change(watch: Stopwatch, tasks: int) -> tuple[float, float]:
-    """One end and one start of a job, written; and what each other controller spends on it."""
-    built = controller_state.build(tasks)
-    ids = controller_state.add_jobs(built, 1, 2 * tasks)
+def _change_times(stopwatch: Stopwatch, tasks: int) -> tuple[float, float]:
+    """Measure the write of an end and a start of a job, and its read by another controller."""
+    state = controller_state.build(tasks)
+    ids = controller_state.add_jobs(state, 1, 2 * tasks)
     job_id = ids[0]
-    job = built.cache.jobs[job_id]
-    first = [Placement(n, controller_state.machine_name(n), "a1", 1) for n in range(tasks)]
-    transaction = Transaction(built.cache)
+    job = state.cache.jobs[job_id]
+    placements = [Placement(n, controller_state.machine_name(n), "a1", 1) for n in range(tasks)]
+    transaction = Transaction(state.cache)
     limits = TeamLimits(job.spec.team)
-    start(transaction, job_id, first, limits, controller_state.ASSIGNMENT)
-    controller_state.apply(built.cache, [(key, value) for key, value, _ in transaction.changes()])
-    ended = EndedAttempt(job_id, 0, built.cache.jobs[job_id].live[0], "done")
+    start(transaction, job_id, placements, limits, controller_state.ASSIGNMENT)
+    controller_state.apply(state.cache, [(key, value) for key, value, _ in transaction.changes()])
+    ended = EndedAttempt(job_id, 0, state.cache.jobs[job_id].live[0], "done")
     placement = [Placement(tasks, controller_state.machine_name(0), "a1", 1)]
 
     def write() -> list[tuple[str, object]]:
-        change = Transaction(built.cache)
+        change = Transaction(state.cache)
         end(change, [ended], 1.0)
         start(change, job_id, placement, limits, controller_state.ASSIGNMENT)
         changes = change.changes()
@@ -101,51 +106,51 @@
         return [(key, value) for key, value, _ in changes]
 
     value = dict(write())[JOB_PREFIX + job_id]
-    other = controller_state.build(1).cache
+    other_cache = controller_state.build(1).cache
     number = 0
 
     def read() -> None:
         nonlocal number
         number += 1
-        other.apply(1000 + number, [(JOB_PREFIX + job_id, value, 1000 + number)])
+        other_cache.apply(1000 + number, [(JOB_PREFIX + job_id, value, 1000 + number)])
 
-    return watch.steps(write, 20), watch.steps(read, 20)
+    return stopwatch.steps(write, 20), stopwatch.steps(read, 20)
 
 
-def _rounds(watch: Stopwatch, machines: int) -> tuple[float, float, float]:
-    """Rounds of planning with and without room, and of renting, over so many workers."""
-    built = controller_state.build(machines)
-    ids = controller_state.add_jobs(built, 24, 1)
-    jobs = [built.cache.jobs[name] for name in ids]
+def _planning_times(stopwatch: Stopwatch, machines: int) -> tuple[float, float, float]:
+    """Measure a planning round with and without free capacity, and a scale-out decision."""
+    state = controller_state.build(machines)
+    ids = controller_state.add_jobs(state, 24, 1)
+    jobs = [state.cache.jobs[name] for name in ids]
 
     def plan() -> None:
-        built.planner.plan(jobs, {})
-        for pending_start in list(built.cluster_view.gate.pending.values()):
-            built.cluster_view.gate.withdraw(pending_start)
+        state.planner.plan(jobs, {})
+        for pending_start in list(state.cluster_view.gate.pending.values()):
+            state.cluster_view.gate.withdraw(pending_start)
 
-    planned = watch.steps(plan, 3)
+    planned = stopwatch.steps(plan, 3)
     full = controller_state.build(machines)
-    filler = controller_state.add_jobs(
+    filler_ids = controller_state.add_jobs(
         full, machines, int(controller_state.TYPE.cpus / controller_state.TASK_CPUS)
     )
-    _start_full(full, filler)
-    waiting = [full.cache.jobs[n] for n in controller_state.add_jobs(full, 24, 1, first=machines)]
-    nothing = watch.steps(lambda: full.planner.plan(waiting, {}), 3)
+    _fill_machines(full, filler_ids)
+    pending = [full.cache.jobs[n] for n in controller_state.add_jobs(full, 24, 1, first=machines)]
+    without_capacity = stopwatch.steps(lambda: full.planner.plan(pending, {}), 3)
     policy = ScalingPolicy(full.cluster_view)
-    rented = watch.steps(lambda: policy.scale_out_requests(1.0), 3)
-    return planned, nothing, rented
+    scaled = stopwatch.steps(lambda: policy.scale_out_requests(1.0), 3)
+    return planned, without_capacity, scaled
 
 
-def _start_full(full: ControllerState, job_ids: list[str]) -> None:
-    """Each job fills one machine."""
+def _fill_machines(state: ControllerState, job_ids: list[str]) -> None:
+    """Start all tasks of each job on a machine of its own, which they fill."""
     for number, job_id in enumerate(job_ids):
         name, zone = (
             controller_state.machine_name(number),
             controller_state.ZONES[number % len(controller_state.ZONES)],
         )
-        tasks = full.cache.jobs[job_id].spec.tasks
+        tasks = state.cache.jobs[job_id].spec.tasks
         placements = [Placement(task, name, zone, 1) for task in range(tasks)]
-        transaction = Transaction(full.cache)
+        transaction = Transaction(state.cache)
         start(
             transaction,
             job_id,
@@ -154,19 +159,19 @@
             controller_state.ASSIGNMENT,
         )
         controller_state.apply(
-            full.cache, [(key, value) for key, value, _ in transaction.changes()]
+            state.cache, [(key, value) for key, value, _ in transaction.changes()]
         )
-        full.cluster_view.machine_changed(name)
+        state.cluster_view.machine_changed(name)
 
 
-def _restart(watch: Stopwatch, jobs: int) -> float:
-    """A controller reads the records of so many jobs with six live tasks each."""
-    built = controller_state.build(1)
-    ids = controller_state.add_jobs(built, jobs, 6)
-    controller_state.start_all(built, ids, 100)
+def _record_load_time(stopwatch: Stopwatch, jobs: int) -> float:
+    """Measure the load of the records of jobs with six live tasks each into a cache."""
+    state = controller_state.build(1)
+    ids = controller_state.add_jobs(state, jobs, 6)
+    controller_state.start_all(state, ids, 100)
     items = []
     for job_id in ids:
-        transaction = Transaction(built.cache)
+        transaction = Transaction(state.cache)
         assert transaction.job(job_id) is not None
         items.append((JOB_PREFIX + job_id, transaction.changes()[0][1], 5))
-    return watch.steps(lambda: StateCache().reset(10, items), 1)
+    return stopwatch.steps(lambda: StateCache().reset(10, items), 1)
