--- a/src/sandladder/agents/agent_redirect.py
+++ b/src/sandladder/agents/agent_redirect.py
@@ -76,7 +76,7 @@
         )
 
     def is_isolated(self, now: float) -> bool:
-        """Return whether this controller stopped receiving heartbeats while others do not.
+        """Return whether heartbeats no longer arrive here but arrive at other controllers.
 
         Guards against an isolated controller treating its healthy machines as failed and returning
         them to the cloud.
--- a/src/sandladder/agents/agent_service.py
+++ b/src/sandladder/agents/agent_service.py
@@ -79,7 +79,7 @@
         self._sender.stop_cancelled(job_ids)
 
     def is_isolated(self, now: float) -> bool:
-        """Return whether this controller stopped receiving heartbeats while others do not."""
+        """Return whether heartbeats no longer arrive here but arrive at other controllers."""
         return self._redirect.is_isolated(now)
 
     async def expire_silent_agents(self) -> None:
--- a/src/sandladder/agents/agent_session.py
+++ b/src/sandladder/agents/agent_session.py
@@ -33,7 +33,7 @@
         # Token of an unanswered direct command with a start.  The start may still be delivered
         # until the agent reports a later token or epoch.
         self.unanswered_start_token: int | None = None
-        # Whether a heartbeat response that the agent may not have received yet has a start.
+        # Whether a heartbeat response that the agent may not have received yet contains a start.
         self.start_in_response = False
         # If a start may still be delivered: the time up to which all cancellations were known when
         # it was sent.  Infinite otherwise.
--- a/src/sandladder/cli.py
+++ b/src/sandladder/cli.py
@@ -67,6 +67,7 @@
 
 
 async def _retire(settings: Settings, node: str) -> str | None:
+    """Record the permanent removal of a controller; return the problem, or None on success."""
     from sandladder.config import parse_address
     from sandladder.state import (
         StoreClient,
