--- a/src/sandladder/controller/planning_loop.py
+++ b/src/sandladder/controller/planning_loop.py
@@ -143,7 +143,7 @@
         self._background.start_soon(self._notify_after_stop, change, victim)
 
     async def _notify_after_stop(self, change: PendingChange, victim: PreemptionVictim) -> None:
-        """Wait for the commit of the stop, then notify the machine's reporting controller."""
+        """Wait until the stop is committed or rejected; notify the reporting controller."""
         try:
             await change.wait()
         except PreconditionFailedError as rejection:
