--- a/src/sandladder/model/__init__.py
+++ b/src/sandladder/model/__init__.py
@@ -1,11 +1,11 @@
-"""What the cluster's state consists of: jobs, attempts, machines, agents, members, quotas.
+"""The cluster's state: jobs, attempts, machines, agents, members and quotas.
 
-Plain values and the rules that follow from them alone.  The package owns no state of its own but
-`DependencyIndex`, which an owner of jobs keeps up.  Nothing here does I/O, reads a clock or draws
-random numbers, and nothing says how a value is spelled on the wire or in the store: that is
-`sandladder.protocol` and `sandladder.state.codecs`.
+The package holds value types and the rules that depend on them alone.  Its only mutable types are
+`Job`, `Ranges` and `DependencyIndex`, which their owner updates.  Nothing here does I/O, reads a
+clock or draws random numbers.  `sandladder.protocol` encodes values for the wire,
+`sandladder.state.codecs` for the store.
 
-Times of day are seconds since the epoch; durations are in seconds; sizes in gigabytes.
+Times of day are in seconds since the Unix epoch, durations in seconds, sizes in gigabytes.
 """
 
 from sandladder.model.agents import AgentHeartbeat, ClockReading, Command, TaskStatus
--- a/src/sandladder/model/agents.py
+++ b/src/sandladder/model/agents.py
@@ -1,4 +1,4 @@
-"""What agents send to controllers, and the commands that they get."""
+"""Heartbeats that agents send to controllers, and the commands sent to agents."""
 
 from typing import NamedTuple
 
@@ -8,11 +8,11 @@
 
     Attributes:
         job: the job's id.
-        task: its number within the job.
+        task: the task's number within the job.
         attempt: the number of the attempt.
-        state: as the protocol names it.
-        cause: why it exited, as the protocol names it.
-        saved: whether it saved a checkpoint.
+        state: the task's state, in the protocol's words.
+        cause: the outcome of an exited task; empty before it exits.
+        saved: whether the task saved a checkpoint.
     """
 
     job: str
@@ -28,16 +28,16 @@
 
     Attributes:
         machine: the machine's name.
-        addr: where the agent takes commands, as host:port.
+        addr: the address at which the agent accepts commands, as host:port.
         type: the machine type.
         zone: the machine's zone.
-        spot: whether it is a spot instance.
-        session: the agent's epoch: from 1 on, one more each time its lease has expired.
-        seq: grows with each message of the agent; of two, the one with the larger (epoch, seq) is
-            newer.
-        token: the highest fencing token that the agent has seen.
-        notice_s: in how many seconds the cloud takes the machine away; None if that is not known.
-        entries: the tasks on the machine, also exited ones that were not forgotten yet.
+        spot: whether the machine is a spot instance.
+        agent_epoch: the agent's epoch; starts at 1 and increases with each lease expiry.
+        sequence_number: increases with each message of the agent; heartbeats are ordered by
+            (agent_epoch, sequence_number).
+        fencing_token: the highest fencing token that the agent has seen.
+        notice_s: seconds until the cloud reclaims the machine; None if no reclaim is announced.
+        tasks: the tasks on the machine, including exited ones that are not forgotten yet.
     """
 
     machine: str
@@ -56,11 +56,11 @@
     """A command to an agent about one attempt.
 
     Attributes:
-        op: what to do, as the protocol names it.
+        operation: "start", "stop" or "forget".
         job: the job's id.
-        task: its number within the job.
+        task: the task's number within the job.
         attempt: the number of the attempt.
-        grace_s: for how many seconds a task that is to be stopped may go on.
+        grace_s: the grace period of a stop, in seconds.
     """
 
     operation: str
@@ -71,10 +71,10 @@
 
 
 class ClockReading(NamedTuple):
-    """A time on the steady clock of one process.
+    """A reading of one process's steady clock.
 
     Attributes:
-        process: tells processes apart, also those of one controller.
+        process: identifies the process; differs between the processes of one controller.
         at: the time in seconds.
     """
 
--- a/src/sandladder/model/attempt_outcomes.py
+++ b/src/sandladder/model/attempt_outcomes.py
@@ -1,11 +1,11 @@
-"""How an attempt is named, and how it may end."""
+"""Keys and outcomes of attempts."""
 
 import enum
 from typing import NamedTuple
 
 
 class AttemptKey(NamedTuple):
-    """Names one attempt of one task; no two attempts ever share a key."""
+    """Identifies one attempt of one task; keys are never reused."""
 
     job: str
     task: int
@@ -13,23 +13,26 @@
 
 
 class AttemptOutcome(enum.StrEnum):
-    """How an attempt ended.  Controllers send each other the values, so these never change."""
+    """How an attempt ended.
+
+    Controllers send each other the values, so the values must never change.
+    """
 
     DONE = "done"
     STOPPED = "stopped"  # as commanded
     SAVED = "saved"  # as commanded, with a checkpoint
-    PEERS_LOST = "peers"  # the other members of its gang went away
-    PEERS_MISSING = "alone"  # the other members of its gang did not come up in time
+    PEERS_LOST = "peers"  # another member of its gang ended or became unreachable
+    PEERS_MISSING = "alone"  # the other members of its gang did not start in time
     ERROR = "error"
-    UNKNOWN = "unknown"  # the agent cannot say
-    NO_CAPACITY = "no_room"  # the machine refused it: not enough was free
-    BUSY = "busy"  # the machine refused it: what it needs was in use
-    LOST = "lost"  # the machine, or the agent epoch that ran it, is gone
-    NEVER_RAN = "never"  # stopped before the machine had received the start
+    UNKNOWN = "unknown"  # the agent does not know
+    NO_CAPACITY = "no_room"  # the machine refused it: too little free capacity
+    BUSY = "busy"  # the machine refused it: a resource that it needs was in use
+    LOST = "lost"  # the machine was removed, or the agent epoch that ran it ended
+    NEVER_RAN = "never"  # stopped before the machine received the start command
 
 
-# The task itself failed; on another machine it may not.
+# The task itself failed; it may succeed on another machine.
 FAILURES = frozenset({AttemptOutcome.ERROR, AttemptOutcome.UNKNOWN})
 
-# The machine did not take the task, which says nothing of the task.
+# The machine refused the task; no fault of the task is implied.
 REFUSALS = frozenset({AttemptOutcome.NO_CAPACITY, AttemptOutcome.BUSY})
--- a/src/sandladder/model/attempts.py
+++ b/src/sandladder/model/attempts.py
@@ -1,16 +1,16 @@
-"""Attempts to run a task, from its placement to its proved end."""
+"""Attempts to run a task, from placement to proved end."""
 
 from typing import NamedTuple
 
 
 class Placement(NamedTuple):
-    """A task that is to start on a machine.
+    """A task assigned to a machine and not started yet.
 
     Attributes:
-        task: its number within the job.
+        task: the task's number within the job.
         machine: the machine's name.
         zone: the machine's zone.
-        session: the epoch of the machine's agent.
+        agent_epoch: the epoch of the machine's agent.
     """
 
     task: int
@@ -20,14 +20,14 @@
 
 
 class Attempt(NamedTuple):
-    """A committed start: it occupies its task, place and quota until its end is proved.
+    """A committed start, which holds its task, capacity and quota until its end is proved.
 
     Attributes:
         machine: the machine's name.
         zone: the machine's zone.
-        session: the epoch of the machine's agent.
-        attempt: its number within the job; all tasks of a gang start with the same one.
-        stop: None, or the grace in seconds with which it is to be stopped.
+        agent_epoch: the epoch of the machine's agent.
+        attempt: the attempt's number within the job; all tasks of a gang start with the same one.
+        stop: the grace period in seconds if the attempt is to be stopped, else None.
     """
 
     machine: str
@@ -42,9 +42,9 @@
 
     Attributes:
         job: the job's id.
-        task: its number within the job.
+        task: the task's number within the job.
         attempt: the attempt.
-        outcome: how it ended.
+        outcome: how the attempt ended.
     """
 
     job: str
--- a/src/sandladder/model/dependencies.py
+++ b/src/sandladder/model/dependencies.py
@@ -1,8 +1,8 @@
-"""Dependencies between jobs: which live jobs depend on which, and what came of these.
+"""The dependency graph of live jobs and the outcomes of their dependencies.
 
-A job names the jobs that must be done before any of its tasks starts.  Whoever is named was
-accepted before, so no cycle can arise.  How a named job ended is a fact that never changes once
-it is known: done releases its dependents; cancelled cancels all of them, direct and indirect.
+A job's dependencies are the jobs that must be done before any of its tasks starts.  They must be
+accepted before the job, so the graph has no cycles.  A dependency's outcome is final: a done one
+releases its dependents; a cancelled one cancels all of them, direct and indirect.
 Pure: no I/O, no clock.
 """
 
@@ -18,30 +18,34 @@
 
 
 class DependencyOutcome(enum.Enum):
-    """What a live job's dependencies mean for it."""
+    """The combined state of a live job's dependencies."""
 
     READY = "ready"  # all of them are done
     WAITING = "waiting"  # some are live
-    CANCELLED = "cancelled"  # one is cancelled, or has such an outcome itself
-    UNKNOWN = "unknown"  # none is live, and how some ended must be read first
+    CANCELLED = "cancelled"  # one is cancelled, or has a cancelled dependency itself
+    UNKNOWN = "unknown"  # none is live, but the outcome of some has not been read yet
 
 
 class DependencyIndex:
-    """The dependencies of the live jobs, kept up to date by the state cache."""
+    """The dependencies of the live jobs; the state cache keeps it up to date."""
 
     def __init__(self, jobs: dict[str, Job]) -> None:
-        """`jobs`: the live jobs by id, which the owner changes before it calls `update`."""
+        """Create an empty index.
+
+        Args:
+            jobs: the live jobs by id; the owner changes the mapping before it calls `update`.
+        """
         self._jobs = jobs
-        self._dependents: dict[str, dict[str, None]] = {}  # by job, those that name it
-        self._dependencies: dict[str, tuple[str, ...]] = {}  # by job, those that it names
-        self._finished: dict[str, FinishedJob] = {}  # only of jobs that live ones name
+        self._dependents: dict[str, dict[str, None]] = {}  # by job, the jobs that depend on it
+        self._dependencies: dict[str, tuple[str, ...]] = {}  # by job, its dependencies
+        self._finished: dict[str, FinishedJob] = {}  # only dependencies of live jobs
         self._to_cancel: dict[str, None] = {}
         self._priorities: dict[str, SchedulingPriority] = {}
 
-    # Changes
+    # Updates
 
     def update(self, job_id: str, old: Job | None, new: Job | None) -> None:
-        """Take in that a job became live, changed, or is live no more (`new` is None)."""
+        """Update the index after a job was added, changed or removed (`new` is None)."""
         before = self._dependencies.get(job_id, ())
         after = new.dependencies if new is not None else ()
         if before != after:
@@ -49,7 +53,7 @@
         if before != after or (old is None) != (new is None):
             self._priorities.clear()
         if new is None:
-            # It is over, or will be read again: nothing is kept of it.
+            # The job is finished, or it will be read from the store again.
             self._to_cancel.pop(job_id, None)
             return
         if after and job_id not in self._to_cancel and any(map(self._is_cancelled, after)):
@@ -61,7 +65,7 @@
             self._cancel_dependents(job_id)
 
     def note_finished(self, job_id: str, final: FinishedJob) -> bool:
-        """Take in how a job ended; False when no live job depends on it."""
+        """Record how a job ended; return False if no live job depends on it."""
         if job_id not in self._dependents:
             return False
         self._finished[job_id] = final
@@ -84,7 +88,7 @@
             self._dependencies.pop(job_id, None)
 
     def _is_cancelled(self, name: str) -> bool:
-        """Whether a dependency is cancelled, or will be."""
+        """Return whether a dependency is cancelled or is to be cancelled."""
         job = self._jobs.get(name)
         if job is not None:
             return job.cancelled or name in self._to_cancel
@@ -92,7 +96,7 @@
         return finished is not None and finished.state == CANCELLED
 
     def _cancel_dependents(self, job_id: str) -> None:
-        """Note that all jobs that depend on one, directly or not, are to be cancelled."""
+        """Mark all direct and indirect dependents of a job for cancellation."""
         stack = [job_id]
         while stack:
             for dependent in self._dependents.get(stack.pop(), ()):
@@ -101,10 +105,10 @@
                     self._priorities.clear()
                     stack.append(dependent)
 
-    # Questions
+    # Queries
 
     def outcome(self, job: Job) -> DependencyOutcome:
-        """What a live job's dependencies mean for it."""
+        """Return the combined state of a live job's dependencies."""
         if not job.dependencies:
             return DependencyOutcome.READY
         if job.id in self._to_cancel:
@@ -117,22 +121,22 @@
         return DependencyOutcome.UNKNOWN
 
     def ready(self, job: Job) -> bool:
-        """Whether all dependencies of a live job are known to be done."""
+        """Return whether all dependencies of a live job are known to be done."""
         return not job.dependencies or self.outcome(job) is DependencyOutcome.READY
 
     def finished_job(self, name: str) -> FinishedJob | None:
-        """How a job that live ones depend on ended, if that is known."""
+        """Return how a dependency of live jobs ended, or None if that is unknown."""
         return self._finished.get(name)
 
     def jobs_to_cancel(self) -> Iterator[Job]:
-        """The live jobs that must be cancelled because one of their dependencies is."""
+        """Yield the live jobs to cancel because a dependency of theirs is cancelled."""
         for job_id in self._to_cancel:
             job = self._jobs.get(job_id)
             if job is not None and not job.cancelled:
                 yield job
 
     def unresolved(self) -> list[str]:
-        """The dependencies that are not live and of which it is not known how they ended."""
+        """Return the dependencies that are not live and whose outcome is unknown."""
         return [
             name
             for name in self._dependents
@@ -140,11 +144,11 @@
         ]
 
     def unresolved_dependencies(self, job: Job) -> list[str]:
-        """The unresolved ones among a job's direct and indirect dependencies.
+        """Return the unresolved ones among a job's direct and indirect dependencies.
 
-        The job's own outcome is certain only when all of these have been read.
+        The result of `outcome` is final only after all of them have been read.
         """
-        found: dict[str, None] = {}
+        unresolved: dict[str, None] = {}
         stack, seen = list(job.dependencies), set(job.dependencies)
         while stack:
             name = stack.pop()
@@ -154,21 +158,20 @@
                 seen.update(unseen)
                 stack += unseen
             elif name not in self._finished:
-                found[name] = None
-        return list(found)
+                unresolved[name] = None
+        return list(unresolved)
 
     def dependents(self, name: str) -> Iterator[Job]:
-        """The live jobs that depend directly on this one."""
+        """Yield the live jobs that depend directly on a job."""
         for job_id in self._dependents.get(name, ()):
             job = self._jobs.get(job_id)
             if job is not None:
                 yield job
 
     def ready_since(self, job: Job) -> float:
-        """The time of day from which a ready job's waiting time counts, in seconds.
+        """Return the time of day from which a ready job's waiting time counts, in seconds.
 
-        That is when it was submitted or when the last of its dependencies was done, whichever is
-        later.
+        This is the later of its submission and the time at which its last dependency was done.
         """
         times = [job.submitted, job.ready or 0.0]
         finished_jobs = (self._finished.get(name) for name in job.dependencies)
@@ -176,20 +179,24 @@
         return max(times)
 
     def scheduling_priority(
-        self, job: Job, stage_s: Callable[[JobSpec], float]
+        self, job: Job, duration_s: Callable[[JobSpec], float]
     ) -> SchedulingPriority:
-        """The priority and due time of a job, with those inherited from its dependents.
+        """Return a job's priority and due time, including those inherited from its dependents.
 
-        `stage_s`: how long a job takes once it may start, in seconds.
+        Args:
+            job: a live job.
+            duration_s: estimates a job's time from ready to done, in seconds.
         """
-        known = self._priorities.get(job.id)
-        if known is not None:
-            return known
-        inherit_priorities(job.id, self._jobs, self._dependents_to_run, stage_s, self._priorities)
+        cached = self._priorities.get(job.id)
+        if cached is not None:
+            return cached
+        inherit_priorities(
+            job.id, self._jobs, self._dependents_to_run, duration_s, self._priorities
+        )
         return self._priorities.get(job.id) or SchedulingPriority(job.spec.priority, NEVER_DUE)
 
     def _dependents_to_run(self, name: str) -> Iterator[Job]:
-        """The direct dependents that are not cancelled and will not be."""
+        """Yield the direct dependents that are neither cancelled nor to be cancelled."""
         for job in self.dependents(name):
             if job.id not in self._to_cancel and not job.cancelled:
                 yield job
--- a/src/sandladder/model/jobs.py
+++ b/src/sandladder/model/jobs.py
@@ -1,6 +1,6 @@
-"""Jobs: what a user asked for, the live job, and what is kept of a finished one.
+"""Jobs: specifications, live jobs, and the records of finished ones.
 
-Pure: no I/O, no clock; `sandladder.state.codecs` says how they are stored.
+Pure: no I/O, no clock; `sandladder.state.codecs` encodes them for the store.
 """
 
 from collections.abc import Iterator
@@ -11,37 +11,40 @@
 from sandladder.model.attempts import Attempt
 from sandladder.model.ranges import Ranges
 
-# Kinds of jobs: independent tasks; tasks that run all together or not at all; replicas that run
-# until the job is cancelled.
+# Kinds of jobs: independent tasks (job array); tasks that run all together or not at all (gang);
+# replicas that run until the job is cancelled (service).
 ARRAY, GANG, SERVICE = "array", "group", "service"
 # States of a job.
 PENDING, RUNNING, DONE, CANCELLED = "pending", "running", "done", "cancelled"
-# Priorities: more urgent is larger.
+# Priorities; a larger number is more urgent.
 PRODUCTION, HIGH, NORMAL, LOW = 3, 2, 1, 0
 
 
 class JobSpec(msgspec.Struct, frozen=True, array_like=True):
-    """What a user asked for.
+    """A job's specification, as its user submitted it.
 
     Attributes:
         id: the job's id.
-        cls: the class of jobs that it belongs to, by which the settings state objectives.
-        team: whose quota applies.
+        job_class: the class of jobs for which the settings define objectives.
+        team: the team whose quota applies.
         kind: ARRAY, GANG or SERVICE.
         priority: PRODUCTION, HIGH, NORMAL or LOW.
         tasks: the number of tasks.
-        cpus: what each task takes of its machine; `gpus` and `memory_gb` likewise.
-        image: the image that a machine must have before a task can start.
+        cpus: the CPUs that each task uses.
+        gpus: the GPUs that each task uses.
+        memory_gb: the memory that each task uses.
+        image: the image that a machine must fetch before a task can start.
         image_gb: the size of the image.
         types: the allowed machine types; None: any.
         zone: the only allowed zone; None: any.
         one_zone: whether all tasks must be in the same zone.
         spread: whether at most half of the tasks, rounded up, may be in one zone.
         spot: whether the tasks may run on spot instances.
-        estimate_s: the owner's estimate of a task's run time in seconds, without the image fetch.
-        checkpoint_s: after how many seconds of progress a task saves a checkpoint; 0: never.
-        save_s: how many seconds a task needs to save when it is stopped.
-        deadline_s: within how many seconds of its submission it should be done; None: no deadline.
+        estimate_s: the user's estimate of a task's run time in seconds, without the image fetch.
+        checkpoint_s: the interval at which a task saves checkpoints, in seconds of progress; 0:
+            never.
+        save_s: the time in seconds that a task needs to save a checkpoint when it is stopped.
+        deadline_s: the deadline, in seconds after submission; None: no deadline.
     """
 
     id: str
@@ -67,19 +70,20 @@
 
 
 class Job:
-    """A live job: its spec, which tasks are done, and its committed starts.
+    """A live job: its specification, the tasks that are done, and its committed starts.
 
     Attributes:
-        spec: what the user asked for.
+        spec: the specification as submitted.
         submitted: the time of day of its submission, in seconds.
-        dependencies: the jobs that must be done before any task starts, as far as that is not
-            recorded here yet.
-        ready: the time of day at which the last of the recorded ones was done; None: none is.
+        dependencies: the jobs that must be done before any task starts, except those whose
+            completion is already recorded here.
+        ready: the time of day at which the last recorded dependency was done, in seconds; None if
+            none is recorded.
         next_attempt: the number of the next attempt of any task.
         done: the tasks that are done.
         live: by task, the attempt whose end is not proved.
-        cancelled: whether its user has cancelled it.
-        errors: how many attempts failed since a task was last done.
+        cancelled: whether the job is cancelled.
+        errors: the number of failed attempts since a task was last done.
     """
 
     __slots__ = (
@@ -118,18 +122,18 @@
 
     @property
     def complete(self) -> bool:
-        """Whether all its tasks are done; a service never is."""
+        """Whether all tasks are done; always False for a service."""
         return self.spec.kind != SERVICE and self.done.count >= self.spec.tasks
 
     @property
     def waiting(self) -> int:
-        """How many tasks are neither started nor done."""
+        """The number of tasks that are neither started nor done."""
         if self.cancelled:
             return 0
         return self.spec.tasks - self.done.count - len(self.live)
 
     def pending(self) -> Iterator[int]:
-        """The tasks that are neither started nor done, lowest first."""
+        """Yield the tasks that are neither started nor done, in ascending order."""
         if self.cancelled:
             return
         for task in self.done.gaps(self.spec.tasks):
@@ -138,7 +142,7 @@
 
     @property
     def state(self) -> str:
-        """PENDING, RUNNING, DONE or CANCELLED."""
+        """The job's state: PENDING, RUNNING, DONE or CANCELLED."""
         if self.cancelled:
             return CANCELLED
         if self.complete:
@@ -146,25 +150,25 @@
         return RUNNING if self.live else PENDING
 
     def copy(self) -> "Job":
-        """A copy that can be changed without changing this job."""
-        twin = Job(self.spec, self.submitted, self.dependencies, self.ready)
-        twin.next_attempt = self.next_attempt
-        twin.done = Ranges(self.done.flat())
-        twin.live = dict(self.live)
-        twin.cancelled = self.cancelled
-        twin.errors = self.errors
-        return twin
+        """Return a copy that can be changed without changing this job."""
+        duplicate = Job(self.spec, self.submitted, self.dependencies, self.ready)
+        duplicate.next_attempt = self.next_attempt
+        duplicate.done = Ranges(self.done.flat())
+        duplicate.live = dict(self.live)
+        duplicate.cancelled = self.cancelled
+        duplicate.errors = self.errors
+        return duplicate
 
 
 class FinishedJob(NamedTuple):
-    """What is kept of a finished job.
+    """The record of a finished job.
 
     Attributes:
         state: DONE or CANCELLED.
-        done: how many tasks were done.
-        at: the time of day at which it was over, in seconds; None if that was not recorded.
-        version: of its record, where that is known.
-        filed: whether its record is archived, no longer in the live job's place.
+        done: the number of tasks that were done.
+        at: the time of day at which the job finished, in seconds; None if it was not recorded.
+        version: the version of the job's record; 0 if unknown.
+        archived: whether the record has been moved from the live job's key to the archive.
     """
 
     state: str
@@ -175,12 +179,12 @@
 
 
 def zones_allowed(spec: JobSpec, zones: list[str]) -> bool:
-    """Whether tasks of a job may be in these zones together, one zone for each task."""
+    """Return whether a job's tasks may run in these zones together, one zone for each task."""
     if spec.zone is not None and any(zone != spec.zone for zone in zones):
         return False
     if spec.one_zone and len(set(zones)) > 1:
         return False
     if spec.spread:
-        most = (spec.tasks + 1) // 2
-        return all(zones.count(zone) <= most for zone in set(zones))
+        limit = (spec.tasks + 1) // 2
+        return all(zones.count(zone) <= limit for zone in set(zones))
     return True
--- a/src/sandladder/model/machines.py
+++ b/src/sandladder/model/machines.py
@@ -1,4 +1,4 @@
-"""Machine types, machines, and what is known of them."""
+"""Machine types, machines and their status."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 
 from sandladder.model.jobs import JobSpec
 
-# States of an instance in the records.
+# States of a machine in its instance record.
 RENTED, DRAINING, GONE = "rented", "draining", "gone"
 
 
@@ -14,16 +14,16 @@
     """A type of machine that the cloud offers.
 
     Attributes:
-        name: its name.
+        name: the type's name.
         cpus: the CPUs of a machine.
-        gpus: its GPUs.
-        memory_gb: its memory.
-        cache_gb: how much its image cache holds.
-        fetch_gb_per_s: how fast it fetches images.
-        price: what a machine on demand costs per unit of time.
-        spot_price: what a spot instance costs.
-        boot_s: how long a machine takes to come up, in seconds.
-        zones: where it is offered.
+        gpus: the GPUs of a machine.
+        memory_gb: the memory of a machine.
+        cache_gb: the capacity of a machine's image cache.
+        fetch_gb_per_s: the rate at which a machine fetches images.
+        price: the price of an on-demand machine per unit of time.
+        spot_price: the price of a spot instance per unit of time.
+        boot_s: the time that a machine takes to boot, in seconds.
+        zones: the zones in which the type is offered.
     """
 
     name: str
@@ -38,7 +38,7 @@
     zones: tuple[str, ...]
 
     def fits(self, spec: JobSpec) -> bool:
-        """Whether a task of this job fits an empty machine of this type."""
+        """Return whether a task of a job fits an empty machine of this type."""
         return (
             spec.cpus <= self.cpus
             and spec.gpus <= self.gpus
@@ -52,13 +52,13 @@
     """A machine in the cloud's list of instances.
 
     Attributes:
-        id: its name.
-        type: its machine type.
-        zone: its zone.
-        spot: whether it is a spot instance.
-        state: as the cloud names it.
-        age_s: seconds since it was requested, as of the time that the list describes.
-        addr: where its agent takes commands, as host:port.
+        id: the machine's name.
+        type: the machine type.
+        zone: the machine's zone.
+        spot: whether the machine is a spot instance.
+        state: the machine's state, in the protocol's words, but "booting" for "starting".
+        age_s: seconds from the rental request to the time that the list describes.
+        addr: the address at which the machine's agent accepts commands, as host:port.
     """
 
     id: str
@@ -74,11 +74,11 @@
     """A machine in an instance record.
 
     Attributes:
-        type: its machine type.
-        zone: its zone.
-        spot: whether it is a spot instance.
+        type: the machine type.
+        zone: the machine's zone.
+        spot: whether the machine is a spot instance.
         state: RENTED, DRAINING or GONE.
-        since: the time of day at which it came into this state, in seconds.
+        since: the time of day at which the machine entered this state, in seconds.
     """
 
     type: str
@@ -89,17 +89,17 @@
 
 
 class MachineStatus(NamedTuple):
-    """One machine in a controller's inventory.
+    """A machine's entry in a controller's inventory.
 
     Attributes:
-        type: its machine type.
-        zone: its zone.
-        spot: whether it is a spot instance.
-        session: the agent's epoch.
+        type: the machine type.
+        zone: the machine's zone.
+        spot: whether the machine is a spot instance.
+        agent_epoch: the epoch of the machine's agent.
         age_s: seconds since the controller last answered the agent.
-        notice_s: in how many seconds the cloud takes the machine away; None if that is not known.
-        errors: how many different jobs in a row failed there.
-        images: the names of images in its cache, the most recently used last.
+        notice_s: seconds until the cloud reclaims the machine; None if no reclaim is announced.
+        errors: the number of different jobs that failed on the machine in a row.
+        images: the names of the images in the machine's cache, the most recently used last.
     """
 
     type: str
@@ -113,15 +113,15 @@
 
 
 class MachineInventory(NamedTuple):
-    """What a controller publishes of the machines that report to it; expires with its lease.
+    """The machines that report to a controller, as it publishes them; expires with its lease.
 
     Attributes:
-        term: the controller's fencing token.
-        up_s: for how many seconds it has been running.
-        revision: up to which revision of the store it had read.
-        machines: by name.
-        schema_version: the newest schema version that it supports.
-        process: tells the processes of one controller apart.
+        fencing_token: the controller's fencing token.
+        up_s: seconds since the controller started.
+        revision: the store revision up to which the controller had read.
+        machines: the status of each machine, by name.
+        schema_version: the newest schema version that the controller supports.
+        process: identifies the process; differs between the processes of one controller.
     """
 
     fencing_token: int
--- a/src/sandladder/model/membership.py
+++ b/src/sandladder/model/membership.py
@@ -1,4 +1,4 @@
-"""Controllers as cluster members, and which of them schedules a team."""
+"""Members of the roster, and the assignment of teams to controllers."""
 
 from typing import NamedTuple
 
@@ -7,28 +7,31 @@
     """The controller that schedules a team's jobs.
 
     Attributes:
-        node: the controller.
-        term: the incarnation of its process: the fencing token with which that began.
+        node: the controller's name.
+        incarnation: the incarnation of its process: the fencing token that the process started
+            with.
     """
 
     node: str
     incarnation: int
 
 
-# States of a member.  Suspected, it may still refute that; out, its teams went to others.
+# States of a member.  A suspected member may refute the suspicion; the teams of a member that is
+# out are assigned to others.
 IN, SUSPECT, OUT = "in", "suspect", "out"
 
 
 class Member(NamedTuple):
-    """One controller in the roster; (`term`, `refuted`) only grows.
+    """A controller's entry in the roster; (`incarnation`, `refutations`) never decreases.
 
     Attributes:
-        term: the incarnation of its process: the fencing token with which that entered.
-        refuted: how often that process refuted a suspicion or came back.
+        incarnation: the incarnation of its process: the fencing token that the process joined
+            with.
+        refutations: how often the process refuted a suspicion or rejoined.
         state: IN, SUSPECT or OUT.
-        since: the time of day from which it is in, or out, in seconds.
-        flaps: how often in a row it was evicted soon after it had come back.
-        why: the reason for its state, for people.
+        since: the time of day at which the member was admitted or evicted, in seconds.
+        flaps: the number of consecutive evictions soon after rejoining.
+        why: a human-readable reason for the state.
     """
 
     incarnation: int
--- a/src/sandladder/model/ranges.py
+++ b/src/sandladder/model/ranges.py
@@ -5,16 +5,21 @@
 
 
 class Ranges:
-    """A set of integers from 0 on, kept as sorted half-open ranges.
+    """A set of non-negative integers, stored as sorted half-open ranges.
 
     Attributes:
-        count: how many integers are in the set.
+        count: the number of integers in the set.
     """
 
     __slots__ = ("_flat", "count")
 
     def __init__(self, flat: list[int] | None = None) -> None:
-        """Start with the ranges [first, end, first, end, ...], sorted and apart; None: empty."""
+        """Create the set.
+
+        Args:
+            flat: [first, end, first, end, ...]: half-open ranges, sorted, neither overlapping nor
+                adjacent; None for an empty set.
+        """
         self._flat = list(flat or [])
         self.count = sum(self._flat[1::2]) - sum(self._flat[::2])
 
@@ -22,7 +27,7 @@
         return bisect.bisect_right(self._flat, value) % 2 == 1
 
     def add(self, value: int) -> bool:
-        """Add one value; False if it was in the set."""
+        """Add a value; return False if it was already in the set."""
         flat = self._flat
         index = bisect.bisect_right(flat, value)
         if index % 2:
@@ -41,11 +46,11 @@
         return True
 
     def flat(self) -> list[int]:
-        """The ranges as [first, end, first, end, ...], without the ends."""
+        """Return the half-open ranges as [first, end, first, end, ...]."""
         return list(self._flat)
 
     def gaps(self, end: int) -> Iterator[int]:
-        """The values below `end` that are not in the set, lowest first."""
+        """Yield the values below `end` that are not in the set, in ascending order."""
         gap_start = 0
         for first, range_end in zip(self._flat[::2], self._flat[1::2], strict=True):
             yield from range(gap_start, min(first, end))
--- a/src/sandladder/model/schema.py
+++ b/src/sandladder/model/schema.py
@@ -1,7 +1,7 @@
 """Versions of the stored schema.
 
-Records are written as schema version 1, the one of the version before, until all controllers
-support version 2 and the record of the schema version says so (docs/upgrading.md).
+Controllers write records in schema version 1 until all of them support version 2 and the stored
+schema version says so (docs/upgrading.md).
 """
 
 SCHEMA_V1, SCHEMA_V2 = 1, 2
