--- a/src/sandladder/protocol/__init__.py
+++ b/src/sandladder/protocol/__init__.py
@@ -1,12 +1,12 @@
-"""The protocol: how every message to and from other components is spelled and checked.
+"""The protocol: encoding, decoding and validation of messages to and from other components.
 
-The one package that knows the field names and words of the outside; everything else speaks the
-terms of `sandladder.model`, into which each message is translated here, once.  One module for each
-interface: `job_messages` (users), `agent_messages` (machines), `cloud_messages` and
-`store_messages`; `codec` has what they share.  It owns no state, does no I/O, and decides nothing:
-which status code an answer gets is for those who give it.
+Only this package uses the field names and words of the wire format.  It translates each message to
+or from the terms of `sandladder.model`, which all other packages use.  There is one module for each
+interface: `job_messages` (users), `agent_messages`, `cloud_messages` and `store_messages`; `codec`
+holds the shared functions.  The package owns no state and does no I/O.  Its callers choose the
+status codes of responses.
 
-Messages between controllers are not in it: they are this program's own (`transport`).
+The messages between controllers are defined in `sandladder.transport`.
 """
 
 from sandladder.protocol.codec import MalformedMessageError, dumps, loads, loads_map
--- a/src/sandladder/protocol/agent_messages.py
+++ b/src/sandladder/protocol/agent_messages.py
@@ -29,21 +29,26 @@
     "unknown": "unknown",
 }
 _VERBS = {"start": "run", "stop": "halt", "forget": "reap"}
-_TASK_DIGITS = 6
-# The notice of a spot machine may have passed; how long ago is of no matter.
-_LEAST_NOTICE_S = -1e9
+_MAX_TASK_DIGITS = 6
+# Negative: the announced time of a reclaim may have passed any number of seconds ago.
+_MIN_NOTICE_S = -1e9
 
 
 def task_name(job: str, task: int) -> str:
-    """The name of a task on the wire."""
+    """Return the name of a task on the wire."""
     return f"{job}/{task}"
 
 
-def _reported_task(raw: Any) -> TaskStatus:
+def _parse_task_status(raw: Any) -> TaskStatus:
     if not isinstance(raw, dict):
         raise MalformedMessageError("maps are needed", "entries")
     job, _, task = read_text(raw, "entry").partition("/")
-    if not is_job_id(job) or not task.isascii() or not task.isdigit() or len(task) > _TASK_DIGITS:
+    if (
+        not is_job_id(job)
+        or not task.isascii()
+        or not task.isdigit()
+        or len(task) > _MAX_TASK_DIGITS
+    ):
         raise MalformedMessageError("not a task", "entry")
     state = raw.get("standing")
     if state not in _TASK_STATES:
@@ -57,13 +62,13 @@
 
 
 def parse_heartbeat(raw: Any) -> AgentHeartbeat:
-    """A heartbeat with status, from the agent's own request or from its answer to a command.
+    """Parse a heartbeat, which is an agent's request or its response to commands.
 
     Args:
         raw: the decoded body.
 
     Raises:
-        MalformedMessageError: the protocol does not allow it; the text names the field.
+        MalformedMessageError: the body is malformed; the text names the field.
     """
     if not isinstance(raw, dict):
         raise MalformedMessageError("not a map")
@@ -82,18 +87,18 @@
         sequence_number=read_count(raw, "tally"),
         fencing_token=read_count(raw, "seal"),
         notice_s=(
-            None if raw.get("recall_s") is None else read_number(raw, "recall_s", _LEAST_NOTICE_S)
+            None if raw.get("recall_s") is None else read_number(raw, "recall_s", _MIN_NOTICE_S)
         ),
-        tasks=tuple(_reported_task(task) for task in tasks),
+        tasks=tuple(_parse_task_status(task) for task in tasks),
     )
 
 
 def commands_value(token: int, commands: Iterable[Command]) -> dict[str, Any]:
-    """The body of the answer to a heartbeat, not encoded yet.
+    """Return the body of the response to a heartbeat, before encoding.
 
     Args:
-        token: the fencing token under which the commands are given.
-        commands: in the order in which the agent is to carry them out.
+        token: the fencing token under which the commands are sent.
+        commands: the commands, in the order in which the agent must execute them.
     """
     items = []
     for command in commands:
@@ -108,11 +113,15 @@
     return {"seal": token, "orders": items}
 
 
-def direct_commands_body(session: int, token: int, commands: Iterable[Command]) -> bytes:
-    """The body of commands that go to an agent directly; it drops them in another session."""
-    return dumps(commands_value(token, commands) | {"shift": session})
+def direct_commands_body(agent_epoch: int, token: int, commands: Iterable[Command]) -> bytes:
+    """Return the body of commands sent to an agent, which drops them in any other epoch."""
+    return dumps(commands_value(token, commands) | {"shift": agent_epoch})
 
 
 def redirect_body(node: str | None) -> bytes:
-    """The body of a 421: the controller to report to instead, or None for any other."""
+    """Return the body of a 421 response, which redirects an agent.
+
+    Args:
+        node: the controller to which the agent must send its heartbeats; None: any other one.
+    """
     return dumps({"clerk": node} if node else {})
--- a/src/sandladder/protocol/cloud_messages.py
+++ b/src/sandladder/protocol/cloud_messages.py
@@ -15,35 +15,35 @@
 MACHINES_PATH = "/machines"
 RETURN_PATH = "/machines/return"
 
-# Machines on one page of the list; the cloud allows no more.
+# Machines on one page of the list; the cloud's maximum.
 _PAGE_MACHINES = 500
 
 _MACHINE_STATES = {"starting": "booting"}
-# The list may describe a moment before the machine was rented.
-_LEAST_AGE_S = -1e9
+# Negative: the list may describe a time before the machine was requested.
+_MIN_LISTED_AGE_S = -1e9
 
 
 class MachinePage(NamedTuple):
-    """A part of the machine list, in the order of the machines' names."""
+    """A page of the machine list, sorted by name."""
 
     machines: list[ListedMachine]
-    more: bool  # whether others follow
+    more: bool  # whether there are further pages
 
 
 def parse_catalog(body: bytes) -> dict[str, MachineType]:
-    """The cloud's machine types by name.
+    """Parse the cloud's machine types, by name.
 
     Raises:
-        MalformedMessageError: the protocol does not allow it, or there is none.
+        MalformedMessageError: the body is malformed, or it has no machine types.
     """
     types = loads_map(body).get("breeds")
     if not isinstance(types, list) or not types:
         raise MalformedMessageError("a list is needed", "breeds")
-    parsed = map(_machine_type, types)
+    parsed = map(_parse_machine_type, types)
     return {machine_type.name: machine_type for machine_type in parsed}
 
 
-def _machine_type(raw: Any) -> MachineType:
+def _parse_machine_type(raw: Any) -> MachineType:
     if not isinstance(raw, dict):
         raise MalformedMessageError("maps are needed", "breeds")
     zones = raw.get("districts")
@@ -52,33 +52,36 @@
     return MachineType(
         name=read_text(raw, "label"),
         cpus=read_number(raw, "vcpus"),
-        gpus=_number_or_zero(raw, "gpus"),
+        gpus=_read_number_or_zero(raw, "gpus"),
         memory_gb=read_number(raw, "ram_gb"),
-        cache_gb=_number_or_zero(raw, "cache_gb"),
+        cache_gb=_read_number_or_zero(raw, "cache_gb"),
         fetch_gb_per_s=read_number(raw, "pull_gb_per_s"),
         price=read_number(raw, "price"),
-        spot_price=_number_or_zero(raw, "market_price"),
+        spot_price=_read_number_or_zero(raw, "market_price"),
         boot_s=read_number(raw, "boot_s"),
         zones=tuple(str(zone) for zone in zones),
     )
 
 
-def _number_or_zero(raw: dict[Any, Any], field: str) -> float:
+def _read_number_or_zero(raw: dict[Any, Any], field: str) -> float:
     return 0.0 if raw.get(field) is None else read_number(raw, field)
 
 
 def rental_body(name: str, type_name: str, zone: str, spot: bool, count: int) -> bytes:
-    """A request to rent machines; its name must never be used again for another."""
+    """Return the body of a request to rent machines.
+
+    The request is idempotent by its name, which must not be reused for another request.
+    """
     return dumps(
         {"hire": name, "breed": type_name, "district": zone, "loaners": spot, "count": count}
     )
 
 
 def parse_rented(body: bytes) -> list[str]:
-    """The names of the machines that a rental request brought.
+    """Parse the names of the machines that a rental request returned.
 
     Raises:
-        MalformedMessageError: the protocol does not allow it.
+        MalformedMessageError: the body is malformed.
     """
     names = loads_map(body).get("rungs")
     if not isinstance(names, list) or not all(isinstance(n, str) and n for n in names):
@@ -87,31 +90,31 @@
 
 
 def return_body(machines: list[str]) -> bytes:
-    """A request to return machines, by their names."""
+    """Return the body of a request to return machines, given their names."""
     return dumps({"rungs": machines})
 
 
 def machines_target(after: str) -> str:
-    """The target of one page of the machine list, from after the machine `after` on."""
-    start = f"after={after}&" if after else ""
-    return f"{MACHINES_PATH}?{start}most={_PAGE_MACHINES}"
+    """Return the target of the page of the machine list that follows the machine `after`."""
+    after_parameter = f"after={after}&" if after else ""
+    return f"{MACHINES_PATH}?{after_parameter}most={_PAGE_MACHINES}"
 
 
 def parse_machines(body: bytes) -> MachinePage:
-    """One page of the machine list.
+    """Parse one page of the machine list.
 
     Raises:
-        MalformedMessageError: the protocol does not allow it.
+        MalformedMessageError: the body is malformed.
     """
     raw = loads_map(body)
     items = raw.get("rungs")
     if not isinstance(items, list):
         raise MalformedMessageError("a list is needed", "rungs")
-    machines = [_listed_machine(item) for item in items if isinstance(item, dict)]
+    machines = [_parse_listed_machine(item) for item in items if isinstance(item, dict)]
     return MachinePage(machines, raw.get("more") is True)
 
 
-def _listed_machine(raw: dict[Any, Any]) -> ListedMachine:
+def _parse_listed_machine(raw: dict[Any, Any]) -> ListedMachine:
     state = str(raw.get("standing"))
     return ListedMachine(
         id=read_text(raw, "id"),
@@ -119,6 +122,6 @@
         zone=read_text(raw, "district"),
         spot=raw.get("loaners") is True,
         state=_MACHINE_STATES.get(state, state),
-        age_s=read_number(raw, "age_s", _LEAST_AGE_S),
+        age_s=read_number(raw, "age_s", _MIN_LISTED_AGE_S),
         addr=read_text(raw, "addr"),
     )
--- a/src/sandladder/protocol/codec.py
+++ b/src/sandladder/protocol/codec.py
@@ -1,7 +1,7 @@
-"""The codec of the protocol: CBOR bodies, and the checks of single fields in them.
+"""The protocol's codec: CBOR bodies, and readers that validate single fields.
 
-Every value that comes in is checked by one of these readers before anything else sees it.  Pure: no
-I/O, no clock.
+Every received value is validated by one of these readers before it is used.  Pure: no I/O, no
+clock.
 """
 
 from math import isfinite
@@ -11,10 +11,10 @@
 
 from sandladder.errors import SandladderError
 
-# Limits of the protocol page: bytes of a body, and one more than the largest count.
+# Limits of the protocol: bytes of a body; counts are less than the limit.
 BODY_LIMIT = 64 * 1024
 COUNT_LIMIT = 1 << 64
-# Ours: characters of a text, and the largest amount that is taken for meant.
+# Limits of this implementation: characters of a text, and the largest amount.
 TEXT_LIMIT = 128
 AMOUNT_LIMIT = 1e12
 
@@ -23,8 +23,8 @@
     """A body or a field that the protocol does not allow.
 
     Attributes:
-        problem: what is wrong with it.
-        field: the name of the field on the wire; empty when it is the body as a whole.
+        problem: a description of the problem.
+        field: the name of the field on the wire; empty if the problem concerns the whole body.
     """
 
     def __init__(self, problem: str, field: str = "") -> None:
@@ -42,11 +42,11 @@
     """Decode a body.
 
     Raises:
-        MalformedMessageError: it is not exactly one CBOR item.
+        MalformedMessageError: the body is not exactly one CBOR item.
     """
     try:
         return cbor2.loads(body)
-    except Exception as error:  # the decoder raises many kinds on hostile input
+    except Exception as error:  # the decoder raises many types of exceptions on hostile input
         raise MalformedMessageError("not CBOR") from error
 
 
@@ -54,7 +54,7 @@
     """Decode a body that must be a map.
 
     Raises:
-        MalformedMessageError: it is not CBOR, or not a map.
+        MalformedMessageError: the body is not CBOR, or not a map.
     """
     value = loads(body)
     if not isinstance(value, dict):
@@ -63,7 +63,7 @@
 
 
 def read_text(raw: dict[Any, Any], field: str) -> str:
-    """A printable text that is not empty and not too long.
+    """Read a printable, non-empty text of at most `TEXT_LIMIT` characters.
 
     Raises:
         MalformedMessageError: the field is absent or holds anything else.
@@ -74,11 +74,11 @@
     return value
 
 
-def read_number(raw: dict[Any, Any], field: str, least: float = 0.0) -> float:
-    """A finite amount of at least `least`.
+def read_number(raw: dict[Any, Any], field: str, minimum: float = 0.0) -> float:
+    """Read a finite number from `minimum` to `AMOUNT_LIMIT`, both included.
 
     Raises:
-        MalformedMessageError: the field is absent, no number, or out of range.
+        MalformedMessageError: the field is absent, not a number, or out of range.
     """
     value = raw.get(field)
     if isinstance(value, bool) or not isinstance(value, (int, float)):
@@ -87,25 +87,27 @@
         number = float(value)
     except OverflowError:
         raise MalformedMessageError("too large", field) from None
-    if not isfinite(number) or number < least or number > AMOUNT_LIMIT:
+    if not isfinite(number) or number < minimum or number > AMOUNT_LIMIT:
         raise MalformedMessageError("out of range", field)
     return number
 
 
-def read_count(raw: dict[Any, Any], field: str, most: int = COUNT_LIMIT - 1, least: int = 0) -> int:
-    """An integer from `least` to `most`, both included.
+def read_count(
+    raw: dict[Any, Any], field: str, maximum: int = COUNT_LIMIT - 1, minimum: int = 0
+) -> int:
+    """Read an integer from `minimum` to `maximum`, both included.
 
     Raises:
-        MalformedMessageError: the field is absent, no integer, or out of range.
+        MalformedMessageError: the field is absent, not an integer, or out of range.
     """
     value = raw.get(field)
-    if isinstance(value, bool) or not isinstance(value, int) or not least <= value <= most:
+    if isinstance(value, bool) or not isinstance(value, int) or not minimum <= value <= maximum:
         raise MalformedMessageError("a count is needed", field)
     return value
 
 
 def read_flag(raw: dict[Any, Any], field: str) -> bool:
-    """True or false.
+    """Read a boolean.
 
     Raises:
         MalformedMessageError: the field is absent or holds anything else.
@@ -117,10 +119,10 @@
 
 
 def read_word(raw: dict[Any, Any], field: str, words: dict[str, Any]) -> Any:
-    """What one of the words that the protocol lists stands for here.
+    """Read one of the protocol's words and return the value that it maps to.
 
     Raises:
-        MalformedMessageError: the field is absent or holds none of these words.
+        MalformedMessageError: the field is absent or holds none of the words.
     """
     value = raw.get(field)
     if not isinstance(value, str) or value not in words:
--- a/src/sandladder/protocol/job_messages.py
+++ b/src/sandladder/protocol/job_messages.py
@@ -1,4 +1,4 @@
-"""Messages of the job API, between users and controllers."""
+"""Messages between users and controllers: the job API."""
 
 import re
 from typing import Any, NamedTuple
@@ -21,7 +21,7 @@
 CANCEL_ACTION = "cancel"
 
 TASK_LIMIT = 100_000
-# Jobs that one submission may name; a record must have space for them.
+# Dependencies of one submission; a stored record must have space for them.
 DEPENDENCY_LIMIT = 128
 DEPENDENCIES_FIELD = "awaits"
 
@@ -32,27 +32,27 @@
 
 
 class Submission(NamedTuple):
-    """What a user asks for: a job, and the jobs that must be done before it starts."""
+    """A submitted job, and the jobs that must be done before it starts."""
 
     spec: JobSpec
     dependencies: tuple[str, ...] = ()
 
 
 def is_job_id(text: str) -> bool:
-    """Whether this is a job id in the one form that ids have."""
+    """Return whether a text has the format of a job id."""
     return _JOB_ID.fullmatch(text) is not None
 
 
 def parse_submission(body: bytes) -> Submission:
-    """A submission from the body of its request.
+    """Parse the body of a submission.
 
     Raises:
-        MalformedMessageError: the body deserves a 400; the text names the field.
+        MalformedMessageError: the body is malformed; the text names the field.
     """
     raw = loads_map(body)
     if not is_job_id(read_text(raw, "id")):
         raise MalformedMessageError("not a job id", "id")
-    types = _machine_types(raw)
+    types = _read_machine_types(raw)
     cpus = read_number(raw, "vcpus")
     if cpus <= 0:
         raise MalformedMessageError("must be above 0", "vcpus")
@@ -78,11 +78,11 @@
         save_s=read_number(raw, "stamp_s"),
         deadline_s=None if raw.get("due_s") is None else read_number(raw, "due_s"),
     )
-    return Submission(spec, _dependencies(raw))
+    return Submission(spec, _read_dependencies(raw))
 
 
-def _machine_types(raw: dict[Any, Any]) -> tuple[str, ...] | None:
-    """The machine types that a submission allows; None: any."""
+def _read_machine_types(raw: dict[Any, Any]) -> tuple[str, ...] | None:
+    """Read the machine types that a submission allows; None: any."""
     types = raw.get("breeds")
     if types is None:
         return None
@@ -91,8 +91,8 @@
     return tuple(read_text({"breeds": name}, "breeds") for name in types)
 
 
-def _dependencies(raw: dict[Any, Any]) -> tuple[str, ...]:
-    """The jobs that a submission names; one named twice counts once."""
+def _read_dependencies(raw: dict[Any, Any]) -> tuple[str, ...]:
+    """Read a submission's dependencies, without duplicates."""
     names = raw.get(DEPENDENCIES_FIELD)
     if names is None:
         return ()
@@ -107,7 +107,7 @@
 
 
 def has_dependencies(body: bytes) -> bool:
-    """Whether a submission names jobs that must be done first; False for a malformed one."""
+    """Return whether a submission has dependencies; False if its body is not a map."""
     try:
         return bool(loads_map(body).get(DEPENDENCIES_FIELD))
     except MalformedMessageError:
@@ -115,7 +115,7 @@
 
 
 def job_id_of(body: bytes) -> str | None:
-    """The job id in a submission that is otherwise malformed, if there is one."""
+    """Return the job id in a submission that may be malformed, or None if it has no valid id."""
     try:
         job_id = loads_map(body).get("id")
     except MalformedMessageError:
@@ -124,7 +124,7 @@
 
 
 def job_state_body(job_id: str, state: str, done: int | None = None, running: int = 0) -> bytes:
-    """The state of a job, with the counts of its tasks if `done` is given."""
+    """Return the body that gives a job's state, with its task counts unless `done` is None."""
     body: dict[str, Any] = {"id": job_id, "standing": _STATES[state]}
     if done is not None:
         body |= {"done": done, "running": running}
@@ -132,5 +132,5 @@
 
 
 def error_body(text: str) -> bytes:
-    """The body of a refusal: why, for people."""
+    """Return the body of an error response, with a human-readable reason."""
     return dumps({"error": text})
--- a/src/sandladder/protocol/store_messages.py
+++ b/src/sandladder/protocol/store_messages.py
@@ -10,30 +10,30 @@
 LEASES_PATH = "/holds"
 WATCH_PATH = "/follow"
 
-# Keys on one page of a listing; the store allows 1,000.
+# Keys on one page of a listing; the store's maximum is 1,000.
 _PAGE_KEYS = 500
-_SHORTEST_LEASE_MS, _LONGEST_LEASE_MS = 100, 600_000
+_MIN_LEASE_MS, _MAX_LEASE_MS = 100, 600_000
 
 
 class VersionedValue(NamedTuple):
-    """What is kept under a key."""
+    """The value of a key, with its version."""
 
     value: Any
-    version: int  # the revision of its last change
+    version: int  # the revision of the last change of the key
 
 
 class KeyPage(NamedTuple):
-    """A part of a listing, in the order of the keys."""
+    """A page of a listing, sorted by key."""
 
-    revision: int  # of the store when it was read
+    revision: int  # the store's revision at the time of the read
     items: list[tuple[str, Any, int]]  # key, value, version
-    more: bool  # whether others follow
+    more: bool  # whether there are further pages
 
 
 class ChangeBatch(NamedTuple):
-    """The changes after a revision, in their order."""
+    """The changes after a revision, in the order of the store's log."""
 
-    revision: int  # which they reach
+    revision: int  # the revision up to which the batch is complete
     changes: list[tuple[str, Any, int]]  # key, value (None: deleted), version
 
 
@@ -42,11 +42,11 @@
     puts: Iterable[tuple[str, Any, int | None]],
     drops: Iterable[str],
 ) -> bytes:
-    """A transaction that is applied as a whole or not at all.
+    """Return the body of an atomic compare-and-swap transaction.
 
     Args:
         expected_versions: keys, each with the version that it must have; 0: it must not exist.
-        puts: keys, each with its value and the lease that it is attached to, or None.
+        puts: keys to write, each with its value and the lease that it is attached to, or None.
         drops: keys to delete.
     """
     changes: list[dict[str, Any]] = []
@@ -61,16 +61,16 @@
 
 
 def parse_revision(body: bytes) -> int:
-    """The revision that a transaction got.
+    """Parse the revision at which a transaction was committed.
 
     Raises:
-        MalformedMessageError: the protocol does not allow it.
+        MalformedMessageError: the body is malformed.
     """
     return read_count(loads_map(body), "ledger")
 
 
 def parse_failed_keys(body: bytes) -> list[str]:
-    """The keys that did not have the version that a transaction expected.
+    """Parse the keys that did not have the version that a transaction expected.
 
     Raises:
         MalformedMessageError: the body is not a map.
@@ -80,36 +80,36 @@
 
 
 def lease_body(ttl_s: float) -> bytes:
-    """A request for a lease that lasts so many seconds, within what the store allows."""
-    ttl_ms = min(_LONGEST_LEASE_MS, max(_SHORTEST_LEASE_MS, round(ttl_s * 1000)))
+    """Return the body of a lease request; the TTL is clamped to the store's limits."""
+    ttl_ms = min(_MAX_LEASE_MS, max(_MIN_LEASE_MS, round(ttl_s * 1000)))
     return dumps({"ttl_ms": ttl_ms})
 
 
 def parse_lease(body: bytes) -> int:
-    """The id of a lease that was granted.
+    """Parse the id of a granted lease.
 
     Raises:
-        MalformedMessageError: the protocol does not allow it.
+        MalformedMessageError: the body is malformed.
     """
     return read_count(loads_map(body), "tenure")
 
 
 def watch_target(prefix: str, after: int, wait_s: float) -> str:
-    """The target that waits so many seconds for changes after a revision."""
+    """Return the target that waits up to `wait_s` seconds for changes after a revision."""
     return f"{WATCH_PATH}?prefix={prefix}&after={after}&block_ms={round(wait_s * 1000)}"
 
 
 def list_target(prefix: str, after: str, limit: int = _PAGE_KEYS) -> str:
-    """The target of one page of the keys with a prefix, in order, from after `after` on."""
-    start = f"&after={after}" if after else ""
-    return f"{KEYS_PATH}?prefix={prefix}{start}&most={limit}"
+    """Return the target of the page of keys with a prefix that follows the key `after`."""
+    after_parameter = f"&after={after}" if after else ""
+    return f"{KEYS_PATH}?prefix={prefix}{after_parameter}&most={limit}"
 
 
 def parse_events(body: bytes) -> ChangeBatch:
-    """The changes that a watch brought.
+    """Parse the changes that a watch returned.
 
     Raises:
-        MalformedMessageError: the protocol does not allow it.
+        MalformedMessageError: the body is malformed.
     """
     raw = loads_map(body)
     log = raw.get("log") or []
@@ -120,37 +120,39 @@
         if not isinstance(item, dict):
             raise MalformedMessageError("maps are needed", "log")
         if "put" in item:
-            changes.append((_key(item, "put"), item.get("v"), read_count(item, "edition")))
+            changes.append((_read_key(item, "put"), item.get("v"), read_count(item, "edition")))
         else:
-            changes.append((_key(item, "drop"), None, read_count(item, "edition")))
+            changes.append((_read_key(item, "drop"), None, read_count(item, "edition")))
     return ChangeBatch(read_count(raw, "ledger"), changes)
 
 
 def parse_items(body: bytes) -> KeyPage:
-    """One page of a listing of keys.
+    """Parse one page of a listing of keys.
 
     Raises:
-        MalformedMessageError: the protocol does not allow it.
+        MalformedMessageError: the body is malformed.
     """
     raw = loads_map(body)
     items = raw.get("items")
     if not isinstance(items, list):
         raise MalformedMessageError("a list is needed", "items")
-    found = [(_key(item, "key"), item.get("v"), read_count(item, "edition")) for item in items]
-    return KeyPage(read_count(raw, "ledger"), found, raw.get("more") is True)
+    parsed = [
+        (_read_key(item, "key"), item.get("v"), read_count(item, "edition")) for item in items
+    ]
+    return KeyPage(read_count(raw, "ledger"), parsed, raw.get("more") is True)
 
 
 def parse_value(body: bytes) -> VersionedValue:
-    """A key's value and version.
+    """Parse the value and version of a key.
 
     Raises:
-        MalformedMessageError: the protocol does not allow it.
+        MalformedMessageError: the body is malformed.
     """
     raw = loads_map(body)
     return VersionedValue(raw.get("v"), read_count(raw, "edition"))
 
 
-def _key(raw: dict[Any, Any], field: str) -> str:
+def _read_key(raw: dict[Any, Any], field: str) -> str:
     value = raw.get(field)
     if not isinstance(value, str):
         raise MalformedMessageError("a key is needed", field)
