--- a/src/sandladder/config/__init__.py
+++ b/src/sandladder/config/__init__.py
@@ -1,11 +1,12 @@
-"""The settings of a controller: the platform's TOML file and the operators' S-expressions.
+"""The settings of a controller: the platform's TOML file and the operators' S-expression file.
 
-`load` reads and checks both and returns `Settings`; what cannot be served raises `SettingsError`
-with the name of the field.  `platform_file` has the platform's fields, `operator_file` the
-operators', `checks` what the platform's values must satisfy, and `settings` what follows from both.
+`load` reads and checks both files and returns `Settings`, or raises `SettingsError` with the name
+of the invalid field.  `platform_file` defines the platform's fields, `operator_file` the
+operators', `checks` the constraints on the platform's values, and `settings` the combination of
+both files and the values derived from it.
 
-It owns no state: settings are read once, at the start, and never change while a controller runs.
-It never reads the clock, the environment, or anything but these two files.
+Settings are read once at startup and do not change while a controller runs.  The package reads
+only these two files: neither the clock nor the environment.
 """
 
 from sandladder.config.address import Address, parse_address
--- a/src/sandladder/config/address.py
+++ b/src/sandladder/config/address.py
@@ -1,24 +1,24 @@
-"""Addresses in settings and messages."""
+"""Network addresses in settings and messages."""
 
 from typing import NamedTuple
 
-_LARGEST_PORT = 65535
+_MAX_PORT = 65535
 
 
 class Address(NamedTuple):
-    """Where a server listens."""
+    """The host and port at which a server listens."""
 
     host: str
     port: int
 
 
 def parse_address(addr: str) -> Address:
-    """Read `host:port`.
+    """Parse an address of the form `host:port`.
 
     Raises:
-        ValueError: it is not that, or the port is none.
+        ValueError: the text does not have this form, or the port is out of range.
     """
     host, colon, port = addr.rpartition(":")
-    if not colon or not host or not port.isdigit() or not 0 < int(port) <= _LARGEST_PORT:
+    if not colon or not host or not port.isdigit() or not 0 < int(port) <= _MAX_PORT:
         raise ValueError(f"not host:port: {addr!r}")
     return Address(host, int(port))
--- a/src/sandladder/config/checks.py
+++ b/src/sandladder/config/checks.py
@@ -1,4 +1,4 @@
-"""Checks of the platform's settings: what no controller could serve is refused at the start."""
+"""Checks of the platform's settings, which reject unusable values at startup."""
 
 from collections.abc import Iterator
 from math import isfinite
@@ -14,9 +14,10 @@
     TeamLimits,
 )
 
-# What the smallest state service that can be served takes: the end of a job whose record takes
-# three values (those are deleted, its outcome is put), and a value that holds a job's start.
-MIN_TXN_OPS, LEAST_VALUE_KB = 4, 2.0
+# The least limits of the key-value store that suffice: operations of the transaction that finishes
+# a job whose record spans three values (three deletions and the put of the outcome), and KiB of the
+# value that holds a job's start.
+MIN_TXN_OPS, MIN_VALUE_KB = 4, 2.0
 
 _STORE_RATES = ("rps", "write_rps", "value_kb")
 
@@ -25,7 +26,7 @@
     """Check the values of the platform's fields.
 
     Raises:
-        SettingsError: the first field that cannot be served, by its name in the file.
+        SettingsError: a value is invalid; names the first such field as in the file.
     """
     deployment = platform.deployment
     _check_addresses(platform)
@@ -44,7 +45,7 @@
 
 
 def _addresses(platform: Platform) -> Iterator[tuple[str, str]]:
-    """The fields that hold an address, each with it."""
+    """Yield the name and value of each field that holds an address."""
     yield "api_addr", platform.api_addr
     yield "mesh_addr", platform.mesh_addr
     yield "external.cloud", platform.external.cloud
@@ -62,7 +63,7 @@
 
 
 def _check_amounts(deployment: Deployment) -> None:
-    """Durations, rates and sizes are above 0, where they are given."""
+    """Check that the given durations, rates and sizes are finite and above 0."""
     times = ("report_s", "lease_s", "cancel_s", "gang_wait_s", "gang_peer_s")
     for section, group, names in (
         ("workers", deployment.workers, times),
@@ -78,31 +79,34 @@
 
 
 def _check_cancellation_time(workers: AgentSettings) -> None:
-    """Heartbeats can be answered at all: else an agent might run for too long what is cancelled."""
+    """Check that `cancel_s` leaves enough time to answer heartbeats.
+
+    Otherwise an agent could run a cancelled task for longer than `cancel_s`.
+    """
     if workers.cancellation_knowledge_age_s < workers.report_s / 2:
         raise SettingsError(
             "deployment.workers.cancel_s",
             "leaves no time beyond deployment.workers.lease_s to learn of a cancellation: "
-            "must be more than lease_s and three quarters of report_s",
+            "must exceed lease_s plus three quarters of report_s",
         )
 
 
 def _check_store_limits(section: str, limits: StoreSettings | FutureStoreLimits) -> None:
-    """A transaction and a value have the least size that the records need."""
+    """Check that the store's limits suffice for the largest transaction and value."""
     if limits.txn_ops is not None and limits.txn_ops < MIN_TXN_OPS:
         raise SettingsError(f"{section}.txn_ops", f"must be at least {MIN_TXN_OPS}")
-    if limits.value_kb is not None and limits.value_kb < LEAST_VALUE_KB:
+    if limits.value_kb is not None and limits.value_kb < MIN_VALUE_KB:
         raise SettingsError(
-            f"{section}.value_kb", f"must be at least {LEAST_VALUE_KB:g} to hold a job's start"
+            f"{section}.value_kb", f"must be at least {MIN_VALUE_KB:g} to hold a job's start"
         )
 
 
 def _check_team(section: str, team: TeamLimits) -> None:
-    """A team's amounts are not negative, and no guarantee is over its limit."""
+    """Check that a team's amounts are not negative and no guarantee exceeds its limit."""
     for resource in ("cpus", "gpus"):
         guarantee, limit = getattr(team, resource), getattr(team, f"{resource}_max")
         for name, amount in ((resource, guarantee), (f"{resource}_max", limit)):
             if not isfinite(amount) or amount < 0:
                 raise SettingsError(f"{section}.{name}", "must be 0 (none) or more")
         if limit and guarantee > limit:
-            raise SettingsError(f"{section}.{resource}", f"the guarantee is over {resource}_max")
+            raise SettingsError(f"{section}.{resource}", f"the guarantee exceeds {resource}_max")
--- a/src/sandladder/config/errors.py
+++ b/src/sandladder/config/errors.py
@@ -1,14 +1,14 @@
-"""The error of settings that cannot be used."""
+"""The error raised for invalid settings."""
 
 from sandladder.errors import SandladderError
 
 
 class SettingsError(SandladderError):
-    """A settings file that cannot be used.
+    """Invalid settings.
 
     Attributes:
-        subject: the field, or the file where it is no single field.
-        problem: what is wrong with it.
+        subject: the name of the field, or of the file if no single field is at fault.
+        problem: a description of the problem.
     """
 
     def __init__(self, subject: str, problem: str) -> None:
--- a/src/sandladder/config/platform_file.py
+++ b/src/sandladder/config/platform_file.py
@@ -1,6 +1,6 @@
-"""The platform's TOML file: its fields, in the names that the platform gives them.
+"""The platform's TOML settings file.
 
-The file may carry fields that are not listed here; they are ignored.
+Fields are named as in the file.  Fields that are not defined here are ignored.
 """
 
 import tomllib
@@ -11,12 +11,12 @@
 
 from sandladder.config.errors import SettingsError
 
-# The clocks of an agent and a controller together drift by less than this share of a duration.
-_DRIFT_SHARE = 0.002
+# An upper bound of the relative drift between the clocks of an agent and a controller.
+_MAX_CLOCK_DRIFT = 0.002
 
 
 class PeerAddress(msgspec.Struct, frozen=True):
-    """Another controller, and where messages between controllers reach it."""
+    """Another controller, and its address for messages between controllers."""
 
     node_name: str
     addr: str
@@ -24,14 +24,14 @@
 
 
 class ServiceAddresses(msgspec.Struct, frozen=True):
-    """Addresses of the services that the platform runs."""
+    """Addresses of the platform's services."""
 
     cloud: str
     state: str
 
 
 class TeamLimits(msgspec.Struct, frozen=True):
-    """A team's guarantees and limits (`_max`); 0 means that it has none in that resource."""
+    """A team's guarantees and limits (`_max`); 0 means none for that resource."""
 
     name: str
     cpus: float = 0.0
@@ -51,7 +51,7 @@
 
 
 class AgentSettings(msgspec.Struct, frozen=True):
-    """How agents behave in time; all in seconds."""
+    """Intervals and timeouts of agents, in seconds."""
 
     report_s: float
     lease_s: float
@@ -61,17 +61,17 @@
 
     @property
     def cancellation_knowledge_age_s(self) -> float:
-        """How old a controller's knowledge of cancellations may be when it answers a heartbeat.
+        """The maximum age of a controller's knowledge of cancellations when it renews a lease.
 
-        A task that was cancelled unknown to it is gone in time if the agent's lease, renewed by
-        that answer, expires within `cancel_s`: less the drift of two clocks, and the step in which
-        an agent notices that its lease has expired.
+        If the controller misses a cancellation, the agent's lease still expires, and the task
+        ends, within `cancel_s`.  The result allows for clock drift and for the delay with which an
+        agent detects its lease expiry.
         """
-        return (1 - _DRIFT_SHARE) * self.cancel_s - self.lease_s - self.report_s / 4
+        return (1 - _MAX_CLOCK_DRIFT) * self.cancel_s - self.lease_s - self.report_s / 4
 
 
 class FutureStoreLimits(msgspec.Struct, frozen=True):
-    """Limits that the state service will have some day; what is absent stays as it is."""
+    """Limits of the key-value store that may replace today's; absent ones stay unchanged."""
 
     rps: float | None = None
     write_rps: float | None = None
@@ -80,7 +80,15 @@
 
 
 class StoreSettings(msgspec.Struct, frozen=True):
-    """Limits of the state service: requests and changes a second, KiB a value, changes at once."""
+    """Limits of the key-value store.
+
+    Attributes:
+        rps: requests per second.
+        write_rps: writes per second.
+        value_kb: the largest value, in KiB.
+        txn_ops: operations per transaction.
+        next: limits that may take effect at any time; None if there are none.
+    """
 
     rps: float
     write_rps: float
@@ -94,7 +102,7 @@
         return self.value_kb * 1024
 
     def strictest(self) -> "StoreSettings":
-        """The smaller of today's limits and those that may begin without notice."""
+        """Return the smaller of the current limits and those that may replace them."""
         if self.next is None:
             return self
         future = msgspec.structs.asdict(self.next)
@@ -107,14 +115,19 @@
 
 
 class CloudSettings(msgspec.Struct, frozen=True):
-    """Limits of the cloud: requests a second, and by how much its list lags, in seconds."""
+    """Limits of the cloud.
+
+    Attributes:
+        rps: requests per second.
+        list_lag_s: the staleness of the machine list, in seconds.
+    """
 
     rps: float
     list_lag_s: float
 
 
 class ProcessQuota(msgspec.Struct, frozen=True):
-    """What one controller process may use."""
+    """Resource limits of one controller process."""
 
     cpu: float = 1.0
     memory_mb: float = 256.0
@@ -122,7 +135,7 @@
 
 
 class Deployment(msgspec.Struct, frozen=True):
-    """The figures that all controllers share."""
+    """The settings that all controllers share."""
 
     zones: list[str]
     workers: AgentSettings
@@ -135,7 +148,7 @@
 
 
 class Platform(msgspec.Struct, frozen=True):
-    """The platform's file for one controller."""
+    """The contents of the platform's file for one controller."""
 
     node_name: str
     location: str
@@ -147,10 +160,11 @@
 
 
 def read_platform_file(path: Path) -> Platform:
-    """Read the platform's file; the values of its fields are not checked yet.
+    """Read the platform's file without checking the values of its fields.
 
     Raises:
-        SettingsError: it cannot be read, is no TOML, or a field is missing or of another type.
+        SettingsError: the file cannot be read or is not TOML, or a field is missing or has the
+            wrong type.
     """
     raw = _read_toml(path)
     deployment = raw.get("deployment")
--- a/src/sandladder/config/settings.py
+++ b/src/sandladder/config/settings.py
@@ -1,4 +1,4 @@
-"""All settings of one controller, and what follows from them."""
+"""All settings of one controller, and values derived from them."""
 
 from pathlib import Path
 
@@ -8,8 +8,7 @@
 from sandladder.config.operator_file import Operator, load_operator
 from sandladder.config.platform_file import Platform, read_platform_file
 
-# The kinds of service-level objectives that users state.  Those for the service as a whole (up,
-# submit, useful, price, rules, node_restarts) are met by design alone.
+# The known kinds of service-level objectives.  Only the times of `wait` and `finished` are read.
 OBJECTIVE_KINDS = frozenset(
     {
         "deadline",
@@ -44,35 +43,35 @@
 
     @property
     def unknown_objectives(self) -> list[str]:
-        """The kinds of objectives that this program does not know, sorted."""
+        """The kinds of objectives in the file that this version does not know, sorted."""
         kinds = {objective.kind for objective in self.platform.deployment.objectives}
         return sorted(kinds - OBJECTIVE_KINDS)
 
     @property
     def start_objectives_s(self) -> dict[str, float]:
-        """By class, the shortest time within which its tasks should start, in seconds."""
-        return {cls: min(times) for cls, times in self._times_of("wait").items()}
+        """The strictest start-time objective of each class, in seconds."""
+        return {job_class: min(times) for job_class, times in self._times_by_class("wait").items()}
 
     @property
     def completion_objectives_s(self) -> dict[str, list[float]]:
-        """By class, the times within which its jobs should be done, in seconds."""
-        return self._times_of("finished")
+        """The completion-time objectives of each class, in seconds."""
+        return self._times_by_class("finished")
 
-    def _times_of(self, kind: str) -> dict[str, list[float]]:
-        """By class, the times of its objectives of one kind, in seconds."""
-        found: dict[str, list[float]] = {}
+    def _times_by_class(self, kind: str) -> dict[str, list[float]]:
+        """Return the times of each class's objectives of one kind, in seconds."""
+        times_by_class: dict[str, list[float]] = {}
         for objective in self.platform.deployment.objectives:
-            cls, within_s = objective.cls, objective.within_s
-            if objective.kind == kind and cls is not None and within_s is not None:
-                found.setdefault(cls, []).append(within_s)
-        return found
+            job_class, within_s = objective.cls, objective.within_s
+            if objective.kind == kind and job_class is not None and within_s is not None:
+                times_by_class.setdefault(job_class, []).append(within_s)
+        return times_by_class
 
 
 def load_platform(path: Path) -> Platform:
     """Read and check the platform's file.
 
     Raises:
-        SettingsError: it cannot be read or used; the text names the field.
+        SettingsError: the file cannot be read or is invalid; the text names the field.
     """
     platform = read_platform_file(path)
     check_platform(platform)
@@ -80,10 +79,10 @@
 
 
 def load(config: Path, operator: Path | None = None) -> Settings:
-    """Read and check both files; the operators' one is optional.
+    """Read and check both files; the operators' file is optional.
 
     Raises:
-        SettingsError: one of them cannot be read or used; the text names the field.
+        SettingsError: a file cannot be read or is invalid; the text names the field.
     """
     platform = load_platform(config)
     return Settings(platform) if operator is None else Settings(platform, load_operator(operator))
