--- a/src/sandladder/transport/__init__.py
+++ b/src/sandladder/transport/__init__.py
@@ -1,9 +1,9 @@
-"""HTTP, and the messages and connections between controllers: bytes in and out.
+"""HTTP, and the messages and connections between controllers.
 
-`HttpServer` and `HttpClient` speak HTTP/1.1 with whoever is outside.  `peer_messages` has the
-messages between controllers, `peer_transport` the connections that carry them.  Each owns its
-sockets and nothing else: what is said, and to whom, is decided by those who use them.  It keeps no
-state of the cluster, never retries a request and never looks into a body.
+`HttpServer` and `HttpClient` implement HTTP/1.1 for users, agents, the cloud and the key-value
+store.  `peer_messages` defines the messages between controllers, `peer_transport` the connections
+that carry them.  The package owns its sockets and no cluster state.  It neither retries requests
+nor reads HTTP bodies.
 """
 
 from sandladder.transport.http import (
--- a/src/sandladder/transport/http.py
+++ b/src/sandladder/transport/http.py
@@ -1,4 +1,4 @@
-"""HTTP messages as handlers see them, and what the program needs of a client."""
+"""HTTP requests and responses, and the interfaces of handlers and clients."""
 
 from collections.abc import Awaitable, Callable
 from typing import NamedTuple, Protocol
@@ -6,12 +6,12 @@
 from sandladder.errors import SandladderError
 
 CONTENT_TYPE = (b"content-type", b"application/cbor")
-# Bytes that are read from a connection at a time.
+# The maximum number of bytes of one read from a connection.
 READ_SIZE = 64 * 1024
 
 
 class Request(NamedTuple):
-    """A request as handlers see it; `path` holds the query too."""
+    """A received request; `path` includes the query."""
 
     method: str
     path: str
@@ -19,7 +19,7 @@
 
 
 class Response(NamedTuple):
-    """A response as handlers give it; `retry_after` is in whole seconds."""
+    """A response; `retry_after` is in whole seconds."""
 
     status: int
     body: bytes = b""
@@ -27,35 +27,35 @@
 
 
 class HttpError(SandladderError):
-    """No usable response came; the request may or may not have been carried out."""
+    """No valid response was received; the request may or may not have been executed."""
 
 
 Handler = Callable[[Request], Awaitable[Response]]
 
 
 class HttpRequester(Protocol):
-    """What the rest of the program needs of a client."""
+    """The interface of an HTTP client."""
 
     async def request(
         self, method: str, target: str, body: bytes = b"", *, timeout: float
     ) -> Response:
-        """Send one request and wait for its response, for `timeout` seconds at most.
+        """Send one request and wait at most `timeout` seconds for its response.
 
-        Cancelled, it leaves open whether the request is carried out.
+        After a cancellation the request may or may not be executed.
 
         Raises:
-            HttpError: no whole response came in time.
+            HttpError: no complete response was received in time.
         """
         ...
 
     async def aclose(self) -> None:
-        """Close the kept connections."""
+        """Close the idle connections."""
         ...
 
 
 class HttpConnector(Protocol):
-    """Makes a client for an address; tests put their own network here."""
+    """A factory of HTTP clients; tests substitute a simulated network."""
 
     def __call__(self, host: str, port: int, *, keep: int) -> HttpRequester:
-        """A client that keeps up to `keep` idle connections; it connects when it has to."""
+        """Return a client that connects on demand and keeps up to `keep` idle connections."""
         ...
--- a/src/sandladder/transport/http_client.py
+++ b/src/sandladder/transport/http_client.py
@@ -1,4 +1,4 @@
-"""The HTTP/1.1 client, over anyio streams, parsed by h11, with timeouts."""
+"""An HTTP/1.1 client based on anyio and h11, with timeouts."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -16,13 +16,19 @@
 
 
 class HttpClient:
-    """Sends requests to one address over a few kept connections.
+    """Sends requests to one address over a pool of persistent connections.
 
-    Requests may be made concurrently; each has a connection of its own while it is under way.
+    Requests may be concurrent; each has exclusive use of a connection until it completes.
     """
 
     def __init__(self, host: str, port: int, *, keep: int = 4) -> None:
-        """`keep`: how many idle connections are kept for later requests."""
+        """Create a client without connections.
+
+        Args:
+            host: the server's host.
+            port: the server's port.
+            keep: the maximum number of idle connections kept for later requests.
+        """
         self._host = host
         self._port = port
         self._keep = keep
@@ -32,12 +38,12 @@
     async def request(
         self, method: str, target: str, body: bytes = b"", *, timeout: float
     ) -> Response:
-        """Send one request and wait for its response, for `timeout` seconds at most.
+        """Send one request and wait at most `timeout` seconds for its response.
 
-        Cancelled, it closes the connection and leaves open whether the request is carried out.
+        A cancellation closes the connection; the request may or may not be executed.
 
         Raises:
-            HttpError: no whole response came in time.
+            HttpError: no complete response was received in time.
         """
         try:
             with anyio.fail_after(timeout):
@@ -71,12 +77,12 @@
                     await anyio.aclose_forcefully(stream)
 
     async def _connect(self) -> _Connection:
-        """A kept connection that is still open, or a new one."""
+        """Return an idle connection that is still open, or a new one."""
         while self._idle:
             connection = self._idle.pop()
-            # A peer that closed the kept connection meanwhile would make this request
-            # fail with its outcome unknown; a readable idle socket means just that.
-            if not _closed(connection.stream):
+            # A request on a connection that the server has closed would fail with an unknown
+            # outcome.
+            if not _is_closed(connection.stream):
                 return connection
             await anyio.aclose_forcefully(connection.stream)
         stream = await anyio.connect_tcp(self._host, self._port)
@@ -94,7 +100,7 @@
         return data + (state.send(h11.EndOfMessage()) or b"")
 
     async def aclose(self) -> None:
-        """Close the kept connections; requests under way close theirs when they end."""
+        """Close the idle connections; pending requests close theirs when they complete."""
         idle, self._idle = self._idle, []
         for stream, _ in idle:
             await anyio.aclose_forcefully(stream)
@@ -113,7 +119,7 @@
                 state.receive_data(b"")
         elif isinstance(event, h11.Response):
             status = event.status_code
-            retry_after = _retry_after(event.headers)
+            retry_after = _parse_retry_after(event.headers)
         elif isinstance(event, h11.Data):
             chunks.append(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
@@ -122,8 +128,8 @@
             raise anyio.EndOfStream
 
 
-def _closed(stream: SocketStream) -> bool:
-    """Whether the peer has ended this idle connection, as far as is known here."""
+def _is_closed(stream: SocketStream) -> bool:
+    """Return whether the peer is known to have closed this idle connection."""
     transport = getattr(stream, "_transport", None)
     if transport is not None and transport.is_closing():
         return True
@@ -131,8 +137,8 @@
     return bool(protocol is not None and getattr(protocol, "is_at_eof", False))
 
 
-def _retry_after(headers: Iterable[tuple[bytes, bytes]]) -> int | None:
-    """The seconds of a `Retry-After` header; None if there is none, or a date."""
+def _parse_retry_after(headers: Iterable[tuple[bytes, bytes]]) -> int | None:
+    """Return the seconds of the `Retry-After` header, or None if it is absent or a date."""
     for name, value in headers:
         if name == b"retry-after" and value.isdigit():
             return int(value)
--- a/src/sandladder/transport/http_server.py
+++ b/src/sandladder/transport/http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP/1.1 server, over anyio streams, parsed by h11, with limits and timeouts."""
+"""An HTTP/1.1 server based on anyio and h11, with limits and timeouts."""
 
 import logging
 from http import HTTPStatus
@@ -13,41 +13,41 @@
 
 log = logging.getLogger(__name__)
 
-_HEADER_LIMIT = 16 * 1024
+_HEADER_LIMIT = 16 * 1024  # bytes
 _BACKLOG_LIMIT = 512
 
 
 class _BodyTooLargeError(SandladderError):
-    """A request body over the limit."""
+    """A request body exceeds the limit."""
 
 
 class HttpServer:
-    """Serves one address; each connection is a task of its own."""
+    """Serves one address, with a task for each connection."""
 
     def __init__(
         self, handler: Handler, *, body_limit: int, idle_s: float, read_s: float, most: int
     ) -> None:
-        """Make a server that does not listen yet.
+        """Create a server that does not listen yet.
 
         Args:
-            handler: answers each request; connections are served concurrently.
-            body_limit: bytes of a request body; a larger one gets 413.
-            idle_s: seconds for which a connection may wait for its next request.
-            read_s: seconds for which a request that was begun may stall.
-            most: connections at a time; further ones are closed at once.
+            handler: returns the response to each request; called concurrently.
+            body_limit: the maximum size of a request body in bytes; a larger one is answered 413.
+            idle_s: the timeout of a connection that waits for its next request, in seconds.
+            read_s: the maximum time from the first data of a request to its end, in seconds.
+            most: the maximum number of connections; further ones are closed immediately.
         """
         self._handler = handler
         self._body_limit = body_limit
         self._idle_s = idle_s
         self._read_s = read_s
         self._most = most
-        self._open = 0
+        self._connections = 0
 
     async def serve(self, host: str, port: int) -> None:
-        """Accept connections until cancelled, which closes all of them.
+        """Accept connections until cancelled, then close all of them.
 
         Raises:
-            OSError: the address cannot be listened on.
+            OSError: the server cannot listen on the address.
         """
         listener = await anyio.create_tcp_listener(
             local_host=host,
@@ -59,26 +59,25 @@
             await listener.serve(self._serve_connection)
 
     async def _serve_connection(self, stream: SocketStream) -> None:
-        # Past our own bound the connection is closed at once, so that the process keeps
-        # sockets for its own connections to the key-value store and to agents.
-        if self._open >= self._most:
+        # Leaves sockets for the process's own connections to the key-value store and to agents.
+        if self._connections >= self._most:
             await anyio.aclose_forcefully(stream)
             return
-        self._open += 1
+        self._connections += 1
         try:
             await self._serve_requests(stream)
         except (anyio.BrokenResourceError, anyio.ClosedResourceError, anyio.EndOfStream, OSError):
             pass
         except Exception:
-            # A connection's failure is its own: it must not end the others.
-            log.exception("a connection ended with an unexpected failure")
+            # A failure of one connection must not affect the others.
+            log.exception("closing an HTTP connection after an unexpected error")
         finally:
-            self._open -= 1
+            self._connections -= 1
             with anyio.CancelScope(shield=True):
                 await anyio.aclose_forcefully(stream)
 
     async def _serve_requests(self, stream: SocketStream) -> None:
-        """Serve one request after the other until either side closes the connection."""
+        """Serve requests sequentially until either side closes the connection."""
         conn = h11.Connection(h11.SERVER, max_incomplete_event_size=_HEADER_LIMIT)
         while True:
             try:
@@ -95,11 +94,11 @@
             conn.start_next_cycle()
 
     async def _read_request(self, stream: SocketStream, conn: h11.Connection) -> Request | None:
-        """The next request; None if the connection ends or stalls before it is whole.
+        """Read the next request; return None if the connection ends or stalls before its end.
 
         Raises:
-            _BodyTooLargeError: its body is over the limit.
-            h11.RemoteProtocolError: it is no HTTP/1.1.
+            _BodyTooLargeError: the body exceeds the limit.
+            h11.RemoteProtocolError: the received data is not valid HTTP/1.1.
         """
         head: h11.Request | None = None
         chunks: list[bytes] = []
@@ -112,12 +111,11 @@
                 if data is None:
                     return None
                 conn.receive_data(data)
-                # A peer that has begun a request must finish it soon: a stalled one
-                # is closed and costs no one else.
+                # Limits the time from the request's first data to its end, against stalled peers.
                 deadline = min(deadline, clock.now() + self._read_s)
             elif isinstance(event, h11.Request):
                 head = event
-                self._check_announced_size(head)
+                self._check_content_length(head)
             elif isinstance(event, h11.Data):
                 size += len(event.data)
                 if size > self._body_limit:
@@ -131,17 +129,19 @@
             else:
                 return None
 
-    def _check_announced_size(self, head: h11.Request) -> None:
+    def _check_content_length(self, head: h11.Request) -> None:
         for name, value in head.headers:
             if name == b"content-length" and int(value) > self._body_limit:
                 raise _BodyTooLargeError
 
     @staticmethod
     async def _receive(stream: SocketStream, conn: h11.Connection, deadline: float) -> bytes | None:
-        """What comes next: empty at the end of the stream, None when nothing came in time."""
+        """Receive data; return b"" at the end of the stream, None on a timeout."""
         if conn.they_are_waiting_for_100_continue:
-            go_on = h11.InformationalResponse(status_code=HTTPStatus.CONTINUE.value, headers=[])
-            await stream.send(conn.send(go_on) or b"")
+            continue_response = h11.InformationalResponse(
+                status_code=HTTPStatus.CONTINUE.value, headers=[]
+            )
+            await stream.send(conn.send(continue_response) or b"")
         with anyio.move_on_after(max(deadline - clock.now(), 0)):
             try:
                 return await stream.receive(READ_SIZE)
@@ -150,7 +150,7 @@
         return None
 
     async def _refuse(self, stream: SocketStream, conn: h11.Connection, error: Exception) -> None:
-        """Answer what is no request, or too large a one, as far as that can still be answered."""
+        """Send the error response to an invalid or too large request, if that is still possible."""
         if conn.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
         too_large = isinstance(error, _BodyTooLargeError)
@@ -160,12 +160,12 @@
 
 
 def encode_response(conn: h11.Connection, response: Response, close: bool = False) -> bytes:
-    """The bytes of a response.
+    """Return the encoded response.
 
     Args:
-        conn: the server's side of the connection, which this takes a step further.
-        response: what to send.
-        close: whether to announce that the connection is closed after it.
+        conn: the server's connection state, which is advanced.
+        response: the response to encode.
+        close: whether to announce that the connection is closed after the response.
     """
     headers = [CONTENT_TYPE, (b"content-length", str(len(response.body)).encode())]
     if response.retry_after is not None:
--- a/src/sandladder/transport/peer_messages.py
+++ b/src/sandladder/transport/peer_messages.py
@@ -1,11 +1,11 @@
-"""Messages between controllers, and how they are framed: MessagePack behind a length prefix.
+"""Messages between controllers and their framing: MessagePack with a length prefix.
 
-Every message is advisory: it makes things quick, may be lost, and is never the only way by which
-something becomes known.  What must not be missed goes through the state service.
+Messages reduce latency and may be lost; they are never the only source of a fact.  Anything that
+must not be lost is written to the key-value store.
 
-On the wire a message is an array: its tag, then its fields in the order in which they are declared
-here.  Receivers ignore further elements, so a later version may add fields at the end with
-defaults; order and tags never change, names of fields may.
+On the wire a message is an array: its tag, then its fields in the order of their declaration here.
+Receivers ignore further elements, so a later version may append fields with defaults.  The order
+and the tags must not change; the names of fields may.
 """
 
 from typing import NamedTuple
@@ -15,59 +15,63 @@
 from sandladder.errors import SandladderError
 from sandladder.model import SCHEMA_V1, ClockReading, MachineStatus
 
-# The largest body of a frame, in bytes.
+# The maximum size of a frame's body, in bytes.
 MAX_FRAME_BYTES = 256 * 1024
 _LENGTH_BYTES = 4
 
 
 class FrameTooLargeError(SandladderError):
-    """A frame's length is zero or over the limit: the connection cannot be read any further."""
+    """A frame's length is zero or exceeds the limit; the connection is no longer readable."""
 
     def __init__(self, size: int) -> None:
-        """`size`: the announced length of the body, in bytes."""
-        super().__init__(f"a frame of {size} bytes")
+        """Create the error.
+
+        Args:
+            size: the announced length of the body, in bytes.
+        """
+        super().__init__(f"invalid frame length: {size} bytes")
         self.size = size
 
 
 class LinkObservation(NamedTuple):
-    """What a controller observes on its link to another."""
+    """A controller's observation of its link to another controller."""
 
-    silent_s: float  # since the other's last heartbeat
-    refused: bool  # the last connection to it was refused
+    silent_s: float  # time since the other controller's last heartbeat
+    refused: bool  # whether the last connection attempt was refused
 
 
 class PeerHeartbeat(msgspec.Struct, tag="beat", array_like=True):
-    """A controller's periodic sign of life, with its status.
+    """A controller's periodic heartbeat, with its status.
 
-    The fields up to `schema_version` are all that the first version sends.  From `incarnation` on
-    they are input of the failure detector, from `process` on of the guard of lease renewals.
+    The first version sends only the fields up to `schema_version`.  The fields from `incarnation`
+    on are input of the failure detector, those from `process` on of the guard of lease renewals.
     """
 
     node: str
-    store_reachable: bool  # the state service answers the sender and its own lease lasts
-    demand: int = 0  # changes that wait for the state service
-    schema_version: int = SCHEMA_V1  # the newest stored schema that the sender understands
-    incarnation: int = 0  # the fencing token with which its process joined; 0: not yet
-    fencing_token: int = 0  # the one that it has now
-    late_s: float = 0.0  # how late its timers fire
-    agents: int | None = None  # how many report to it; None: it takes none
+    store_reachable: bool  # the sender can use the store and its own lease is valid
+    demand: int = 0  # pending changes to be written to the store
+    schema_version: int = SCHEMA_V1  # the newest schema version that the sender supports
+    incarnation: int = 0  # the fencing token its process joined with; 0: has not joined
+    fencing_token: int = 0  # the sender's current fencing token
+    late_s: float = 0.0  # the delay with which its timers fire
+    agents: int | None = None  # number that report to it; None: it accepts no heartbeats
     leaving: bool = False
     observations: dict[str, LinkObservation] = {}  # by controller
-    process: int = 0  # distinguishes the processes of one controller
+    process: int = 0  # identifies the process; differs between the processes of one controller
     sent_at: float = 0.0  # on that process's steady clock, in seconds
     acknowledged: dict[str, ClockReading] = {}  # by controller, its latest `sent_at` received
-    cancelled_jobs: list[str] = []  # committed cancellations that the sender knows
-    cancelled_jobs_complete: bool = False  # none had to be left out
+    cancelled_jobs: list[str] = []  # committed cancellations known to the sender
+    cancelled_jobs_complete: bool = False  # `cancelled_jobs` was not truncated
 
 
 class ChangeNotice(msgspec.Struct, tag="poke", array_like=True):
-    """Something that concerns the receiver was committed: it should read the changes now."""
+    """A notice that a committed change concerns the receiver, which should read changes now."""
 
-    revision: int  # that the sender's cache had reached
+    revision: int  # the revision of the sender's cache
 
 
 class EndedTask(msgspec.Struct, array_like=True):
-    """The end of an attempt, as an agent's heartbeat proves it."""
+    """The end of an attempt, as proved by an agent's heartbeat."""
 
     job: str
     task: int
@@ -79,7 +83,7 @@
 
 
 class MachineUpdate(msgspec.Struct, tag="sighting", array_like=True):
-    """A machine came, changed or is about to be reclaimed, as seen by its reporting controller."""
+    """A machine appeared, changed or is to be reclaimed; sent by its reporting controller."""
 
     node: str
     machine: str
@@ -87,16 +91,20 @@
 
 
 class EndedTasks(msgspec.Struct, tag="ends", array_like=True):
-    """Proved ends: free capacity for all, and a commit to make for the jobs' assignee."""
+    """Proved ends of attempts.
+
+    Every receiver counts the capacity as free; the controller to which a job is assigned commits
+    its ends.
+    """
 
     ends: list[EndedTask]
 
 
 class ForwardedRequest(msgspec.Struct, tag="ask", array_like=True):
-    """A user's request that the sender cannot serve itself."""
+    """A user's request that the sender forwards because it cannot serve it."""
 
     node: str
-    number: int  # chosen by the sender, never used twice
+    number: int  # chosen by the sender and never reused
     method: str
     path: str
     body: bytes
@@ -119,25 +127,25 @@
 
 
 def encode_frame(message: Message) -> bytes:
-    """A message as it goes over a connection: length prefix and body."""
+    """Return the frame of a message: length prefix and body."""
     body = _encoder.encode(message)
     return len(body).to_bytes(_LENGTH_BYTES, "big") + body
 
 
 def decode_body(body: bytes) -> Message:
-    """The message in a frame's body.
+    """Decode the message in a frame's body.
 
     Raises:
-        msgspec.DecodeError: it is none that this version knows.
+        msgspec.DecodeError: the body is not a message that this version knows.
     """
     return _decoder.decode(body)
 
 
 def take_frame(buffer: bytearray) -> bytes | None:
-    """Remove the first frame from what was received and return its body; None if it is incomplete.
+    """Remove the first frame from a buffer and return its body, or None if it is incomplete.
 
     Raises:
-        FrameTooLargeError: its length is outside the limits.
+        FrameTooLargeError: the frame's length is zero or exceeds the limit.
     """
     if len(buffer) < _LENGTH_BYTES:
         return None
--- a/src/sandladder/transport/peer_transport.py
+++ b/src/sandladder/transport/peer_transport.py
@@ -1,7 +1,7 @@
-"""Connections between controllers over TCP.
+"""TCP connections between controllers.
 
-Each controller connects to every other one and only sends on that connection; what others send
-arrives on the connections that they made.  Bytes in and out, no decisions.
+Each controller connects to every other controller and only sends on that connection.  It receives
+on the connections that the others open.
 """
 
 import contextlib
@@ -49,22 +49,22 @@
 
 log = logging.getLogger(__name__)
 
-# Messages that wait for a connection at the most; the oldest are dropped.
+# The maximum number of queued messages for one peer; the oldest are dropped.
 _QUEUE_LIMIT = 256
-# Connecting and sending are given up after so many heartbeat intervals.
+# The timeout of connecting and of sending, in heartbeat intervals.
 _TIMEOUT_INTERVALS = 4
-# What is sent within this part of a heartbeat interval goes out together.
+# The number of batches per heartbeat interval in which messages are sent.
 _BATCHES_PER_INTERVAL = 12
 
-# How a connection may end that was sent on.
-_BROKEN = (OSError, TimeoutError, anyio.BrokenResourceError, anyio.ClosedResourceError)
+# Exceptions that a closed or broken connection may raise.
+_CONNECTION_ERRORS = (OSError, TimeoutError, anyio.BrokenResourceError, anyio.ClosedResourceError)
 
-# Builds the heartbeat to send now; None: none is to be sent.
+# Builds the next heartbeat; returns None if no heartbeat is to be sent.
 HeartbeatSource = Callable[[], PeerHeartbeat | None]
 
 
 class PeerConnection:
-    """The connection to one peer: a bounded queue of messages, with heartbeats in between."""
+    """The connection to one peer, with a bounded send queue and periodic heartbeats."""
 
     def __init__(
         self,
@@ -72,34 +72,34 @@
         heartbeat_interval_s: float,
         on_connection_change: Callable[[str, bool], None],
     ) -> None:
-        """Prepare the connection; `run` makes it.
+        """Initialize without connecting; `run` opens the connection.
 
         Args:
-            peer: whom to connect to.
-            heartbeat_interval_s: between two heartbeats at the most, in seconds.
-            on_connection_change: called with the peer's name and whether the connection was
-                refused, whenever one was made or could not be made.
+            peer: the controller to connect to.
+            heartbeat_interval_s: the heartbeat interval, in seconds.
+            on_connection_change: called after each connection attempt, with the peer's name and
+                whether the connection was refused.
         """
         self.peer = peer
         self._heartbeat_interval_s = heartbeat_interval_s
         self._timeout_s = _TIMEOUT_INTERVALS * heartbeat_interval_s
         self._on_connection_change = on_connection_change
         self._queue: deque[Message] = deque(maxlen=_QUEUE_LIMIT)
-        self._work = Signal()
+        self._send_requested = Signal()
 
     def send(self, message: Message) -> None:
-        """Queue a message; when the queue is full the oldest is dropped."""
+        """Queue a message; if the queue is full, drop the oldest."""
         self._queue.append(message)
-        self._work.set()
+        self._send_requested.set()
 
     def flush(self) -> None:
-        """Send what is queued, and a heartbeat, now: there is something new in it."""
-        self._work.set()
+        """Send the queued messages and a heartbeat without waiting for the next interval."""
+        self._send_requested.set()
 
     async def run(self, heartbeat: HeartbeatSource) -> None:
-        """Keep a connection and send on it until cancelled; the connection is closed then.
+        """Keep a connection open and send on it until cancelled, then close it.
 
-        While the peer cannot be reached, what is queued is dropped.
+        While the peer is unreachable, queued messages are dropped.
         """
         while True:
             stream = await self._connect()
@@ -108,13 +108,13 @@
                 await anyio.sleep(self._heartbeat_interval_s)
                 continue
             self._on_connection_change(self.peer.node_name, False)
-            with contextlib.suppress(*_BROKEN):
+            with contextlib.suppress(*_CONNECTION_ERRORS):
                 async with stream:
                     await self._send_until_closed(stream, heartbeat)
-            log.info("the connection to %s broke", self.peer.node_name)
+            log.info("connection to peer %s was lost", self.peer.node_name)
 
     async def _connect(self) -> SocketStream | None:
-        """Connect; None if that failed, which is announced."""
+        """Connect to the peer; on a failure call the callback and return None."""
         host, port = parse_address(self.peer.addr)
         try:
             with anyio.fail_after(self._timeout_s):
@@ -127,19 +127,19 @@
     async def _send_until_closed(self, stream: SocketStream, heartbeat: HeartbeatSource) -> None:
         """Send until the peer closes the connection or sending fails.
 
-        The peer never sends here, but the connection's end is only seen by reading.  Seen in a
-        measured day: a controller that had been paused wrote for minutes to peers that had closed
-        the connection meanwhile.
+        The peer never sends on this connection, but only a read detects that the peer closed it.
+        Without the read, a controller resumed after a pause could write for minutes to closed
+        connections.
         """
         async with anyio.create_task_group() as tasks:
 
             async def send() -> None:
-                with contextlib.suppress(*_BROKEN):
+                with contextlib.suppress(*_CONNECTION_ERRORS):
                     await self._send_all(stream, heartbeat)
                 tasks.cancel_scope.cancel()
 
             tasks.start_soon(send)
-            with contextlib.suppress(anyio.EndOfStream, *_BROKEN):
+            with contextlib.suppress(anyio.EndOfStream, *_CONNECTION_ERRORS):
                 await stream.receive(1)
             tasks.cancel_scope.cancel()
 
@@ -151,9 +151,9 @@
             data = b"".join(encode_frame(message) for message in messages)
             with anyio.fail_after(self._timeout_s):
                 await stream.send(data)
-            # What is queued within a moment goes together, with one heartbeat.
+            # Batches messages that are queued shortly after each other, with one heartbeat.
             await anyio.sleep(self._heartbeat_interval_s / _BATCHES_PER_INTERVAL)
-            await self._work.wait(self._heartbeat_interval_s)
+            await self._send_requested.wait(self._heartbeat_interval_s)
 
 
 async def serve(
@@ -162,12 +162,12 @@
     idle_timeout_s: float,
     receive: Callable[[Message], None],
 ) -> None:
-    """Receive the peers' messages until cancelled; all connections are closed then.
+    """Receive the peers' messages until cancelled, then close all connections.
 
     Args:
-        addr: host and port to listen at.
-        max_connections: those past this number are closed at once.
-        idle_timeout_s: a connection without a message for so many seconds is closed.
+        addr: the address to listen on, as host:port.
+        max_connections: the maximum number of connections; further ones are closed immediately.
+        idle_timeout_s: the time without a message after which a connection is closed, in seconds.
         receive: called with each message, in the order of arrival on its connection.
     """
     host, port = parse_address(addr)
@@ -179,10 +179,10 @@
         try:
             if connections <= max_connections:
                 await _receive_all(stream, idle_timeout_s, receive)
-        except (anyio.EndOfStream, *_BROKEN):
+        except (anyio.EndOfStream, *_CONNECTION_ERRORS):
             pass
         except (ValueError, FrameTooLargeError) as error:
-            log.warning("closing the connection of a peer: %s", error)
+            log.warning("closing a peer's connection: %s", error)
         finally:
             connections -= 1
             with anyio.CancelScope(shield=True):
@@ -201,14 +201,13 @@
     while True:
         with anyio.fail_after(idle_timeout_s - (clock.now() - received_at)):
             buffer += await stream.receive(MAX_FRAME_BYTES)
-        # What came together is taken in without waiting in between: each wait costs more than a
-        # message.
+        # Handles all complete messages before the next read, as a read costs more than a message.
         while (body := take_frame(buffer)) is not None:
             received_at = clock.now()
             try:
                 message = decode_body(body)
             except msgspec.DecodeError as error:
-                # A later version may send messages that this one does not know; others count.
-                log.warning("ignoring a peer's message that cannot be read: %s", error)
+                # Later versions may send messages that this version does not know.
+                log.warning("ignoring a peer's message that cannot be decoded: %s", error)
                 continue
             receive(message)
