--- a/src/sandladder/__init__.py
+++ b/src/sandladder/__init__.py
@@ -1,3 +1,3 @@
-"""sandladder: a cluster scheduler that starts work only while the reasons for it still hold."""
+"""sandladder: a cluster scheduler that revalidates each decision before it commits it."""
 
 __version__ = "0.2.0"
--- a/src/sandladder/clock.py
+++ b/src/sandladder/clock.py
@@ -1,12 +1,12 @@
-"""The steady clock that every routine reads."""
+"""The steady clock of the process."""
 
 import asyncio
 
 
 def now() -> float:
-    """The steady time in seconds, from the running event loop.
+    """Return the time on the running event loop's steady clock, in seconds.
 
-    `anyio.current_time()` is the same on its asyncio backend, which this program runs on, but looks
-    the backend up on each call: one sixteenth of a controller's processor time in a measured day.
+    Equals `anyio.current_time()` on the asyncio backend, but saves the CPU time of looking up the
+    backend on each call.
     """
     return asyncio.get_running_loop().time()
--- a/src/sandladder/concurrency.py
+++ b/src/sandladder/concurrency.py
@@ -1,4 +1,4 @@
-"""What the routines of one process use to tell each other things and to start each other."""
+"""Signals between coroutines, and the start of background tasks."""
 
 from collections.abc import Callable, Coroutine
 from typing import Any
@@ -8,37 +8,37 @@
 
 
 class Signal:
-    """A flag that one routine waits for and others raise."""
+    """An auto-reset event for one waiting coroutine."""
 
     def __init__(self) -> None:
         self._event = anyio.Event()
 
     def set(self) -> None:
-        """Raise the flag; raising it again before it was seen changes nothing."""
+        """Set the signal; has no effect if it is already set."""
         self._event.set()
 
     async def wait(self, timeout: float | None = None) -> bool:
-        """Wait until raised, then lower it.
+        """Wait until the signal is set, then reset it.
+
+        A cancelled wait does not reset the signal.
 
         Args:
-            timeout: for how long to wait at most, in seconds; None: without end.
+            timeout: the maximum time to wait, in seconds; None: no limit.
 
         Returns:
-            False when the time ran out first.
-
-        Cancelled, it leaves the flag as it is.
+            Whether the signal was set before the timeout.
         """
         with anyio.move_on_after(timeout):
             await self._event.wait()
-        raised = self._event.is_set()
+        was_set = self._event.is_set()
         self._event = anyio.Event()
-        return raised
+        return was_set
 
 
 class BackgroundTasks:
-    """Starts routines in a task group that is opened after those who use it were made.
+    """Starts coroutines in a task group that is opened after the objects that use it are created.
 
-    The group's owner cancels and joins the routines; nothing here outlives it.
+    The owner of the group cancels and awaits the tasks.
     """
 
     def __init__(self) -> None:
@@ -50,16 +50,16 @@
         return self._group is not None
 
     def open(self, group: TaskGroup) -> None:
-        """Use this group from now on."""
+        """Set the task group in which tasks are started."""
         self._group = group
 
     def start_soon(
         self, routine: Callable[..., Coroutine[Any, Any, Any]], *arguments: object
     ) -> None:
-        """Start a routine in the group.
+        """Start a coroutine function as a task in the group.
 
         Raises:
-            RuntimeError: the group has not been opened yet.
+            RuntimeError: `open` has not been called yet.
         """
         if self._group is None:
             raise RuntimeError("the task group has not been opened")
--- a/src/sandladder/errors.py
+++ b/src/sandladder/errors.py
@@ -1,5 +1,5 @@
-"""The base of every error that sandladder raises."""
+"""The base class of sandladder's exceptions."""
 
 
 class SandladderError(Exception):
-    """Something that sandladder names as having gone wrong; the text is for people."""
+    """Base class of all exceptions that sandladder defines; texts are human-readable."""
