--- a/src/sandladder/controller/controller.py
+++ b/src/sandladder/controller/controller.py
@@ -77,7 +77,7 @@
             body_limit=codec.BODY_LIMIT,
             idle_s=_IDLE_TIMEOUT_LEASES * self.lease_s,
             read_s=self.report_s,
-            most=int(platform.deployment.quota.max_sockets * _INCOMING_SOCKET_SHARE),
+            max_connections=int(platform.deployment.quota.max_sockets * _INCOMING_SOCKET_SHARE),
         )
         tasks.start_soon(server.serve, host, port)
         tasks.start_soon(
--- a/src/sandladder/transport/http_server.py
+++ b/src/sandladder/transport/http_server.py
@@ -25,7 +25,13 @@
     """Serves one address, with a task for each connection."""
 
     def __init__(
-        self, handler: Handler, *, body_limit: int, idle_s: float, read_s: float, most: int
+        self,
+        handler: Handler,
+        *,
+        body_limit: int,
+        idle_s: float,
+        read_s: float,
+        max_connections: int,
     ) -> None:
         """Create a server that does not listen yet.
 
@@ -34,13 +40,13 @@
             body_limit: the maximum size of a request body in bytes; a larger one is answered 413.
             idle_s: the timeout of a connection that waits for its next request, in seconds.
             read_s: the maximum time from the first data of a request to its end, in seconds.
-            most: the maximum number of connections; further ones are closed immediately.
+            max_connections: the maximum number of connections; further ones are closed immediately.
         """
         self._handler = handler
         self._body_limit = body_limit
         self._idle_s = idle_s
         self._read_s = read_s
-        self._most = most
+        self._max_connections = max_connections
         self._connections = 0
 
     async def serve(self, host: str, port: int) -> None:
@@ -52,7 +58,7 @@
         listener = await anyio.create_tcp_listener(
             local_host=host,
             local_port=port,
-            backlog=min(self._most, _BACKLOG_LIMIT),
+            backlog=min(self._max_connections, _BACKLOG_LIMIT),
             reuse_port=False,
         )
         async with listener:
@@ -60,7 +66,7 @@
 
     async def _serve_connection(self, stream: SocketStream) -> None:
         # Leaves sockets for the process's own connections to the key-value store and to agents.
-        if self._connections >= self._most:
+        if self._connections >= self._max_connections:
             await anyio.aclose_forcefully(stream)
             return
         self._connections += 1
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -12,7 +12,7 @@
 
 BODY_LIMIT = 1000
 READ_S = 0.2
-MOST_CONNECTIONS = 20
+MAX_CONNECTIONS = 20
 GET = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 LAST_GET = b"GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
 CHUNK = b"3e8\r\n" + b"x" * BODY_LIMIT + b"\r\n"
@@ -40,7 +40,7 @@
     """A server that answers; its port."""
     port = free_port()
     server = HttpServer(
-        echo, body_limit=BODY_LIMIT, idle_s=20.0, read_s=READ_S, most=MOST_CONNECTIONS
+        echo, body_limit=BODY_LIMIT, idle_s=20.0, read_s=READ_S, max_connections=MAX_CONNECTIONS
     )
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(server.serve, "127.0.0.1", port)
@@ -120,7 +120,7 @@
 def test_connections_over_the_bound_are_closed_at_once() -> None:
     async def test(port: int) -> None:
         async with AsyncExitStack() as connections:
-            for _ in range(MOST_CONNECTIONS):
+            for _ in range(MAX_CONNECTIONS):
                 stream = await connections.enter_async_context(
                     await anyio.connect_tcp("127.0.0.1", port)
                 )
