--- a/src/sandladder/jobs/end_announcer.py
+++ b/src/sandladder/jobs/end_announcer.py
@@ -146,7 +146,7 @@
         task=ended.task,
         machine=attempt.machine,
         zone=attempt.zone,
-        session=attempt.agent_epoch,
+        agent_epoch=attempt.agent_epoch,
         attempt=attempt.attempt,
         outcome=ended.outcome,
     )
--- a/src/sandladder/peers/peer_service.py
+++ b/src/sandladder/peers/peer_service.py
@@ -181,5 +181,5 @@
 
     def _receive_ended_tasks(self, message: EndedTasks) -> None:
         for end in message.ends:
-            attempt = Attempt(end.machine, end.zone, end.session, end.attempt)
+            attempt = Attempt(end.machine, end.zone, end.agent_epoch, end.attempt)
             self._events.on_ended_attempt(EndedAttempt(end.job, end.task, attempt, end.outcome))
--- a/src/sandladder/transport/peer_messages.py
+++ b/src/sandladder/transport/peer_messages.py
@@ -77,7 +77,7 @@
     task: int
     machine: str
     zone: str
-    session: int
+    agent_epoch: int
     attempt: int
     outcome: str
 
