--- a/src/sandladder/model/__init__.py
+++ b/src/sandladder/model/__init__.py
@@ -30,9 +30,9 @@
     zones_allowed,
 )
 from sandladder.model.machines import (
+    ACTIVE,
     DRAINING,
     GONE,
-    RENTED,
     ListedMachine,
     Machine,
     MachineInventory,
@@ -55,6 +55,7 @@
 from sandladder.model.schema import SCHEMA_V1, SCHEMA_V2
 
 __all__ = [
+    "ACTIVE",
     "ARRAY",
     "CANCELLED",
     "DONE",
@@ -73,7 +74,6 @@
     "PENDING",
     "PRODUCTION",
     "REFUSALS",
-    "RENTED",
     "RUNNING",
     "SCHEMA_V1",
     "SCHEMA_V2",
--- a/src/sandladder/model/machines.py
+++ b/src/sandladder/model/machines.py
@@ -7,7 +7,7 @@
 from sandladder.model.jobs import JobSpec
 
 # States of a machine in its instance record.
-RENTED, DRAINING, GONE = "rented", "draining", "gone"
+ACTIVE, DRAINING, GONE = "rented", "draining", "gone"
 
 
 class MachineType(msgspec.Struct, frozen=True):
@@ -77,7 +77,7 @@
         type: the machine type.
         zone: the machine's zone.
         spot: whether the machine is a spot instance.
-        state: RENTED, DRAINING or GONE.
+        state: ACTIVE, DRAINING or GONE.
         since: the time of day at which the machine entered this state, in seconds.
     """
 
--- a/src/sandladder/state/codecs/instances.py
+++ b/src/sandladder/state/codecs/instances.py
@@ -4,10 +4,10 @@
 
 import msgspec
 
-from sandladder.model import DRAINING, GONE, RENTED, Machine, MachineType
+from sandladder.model import ACTIVE, DRAINING, GONE, Machine, MachineType
 from sandladder.state.codecs.machine_names import long_name, short_name
 
-_STATES = (RENTED, DRAINING, GONE)  # records hold the index
+_STATES = (ACTIVE, DRAINING, GONE)  # records hold the index
 # The length of an instance's row in a record, in bytes: number, type, state and time.
 INSTANCE_RECORD_BYTES = 32
 
