--- a/src/sandladder/agents/reconciler.py
+++ b/src/sandladder/agents/reconciler.py
@@ -205,4 +205,4 @@
 def _stop_grace_s(job: Job, attempt: Attempt, cache: StateCache) -> float | None:
     """Return the grace period for stopping an attempt, in seconds, or None if it should run."""
     # Tasks of a cancelled job need no checkpoint.
-    return 0.0 if cache.is_cancelled(job.id) else attempt.stop
+    return 0.0 if cache.is_cancelled(job.id) else attempt.stop_grace_s
--- a/src/sandladder/jobs/transitions.py
+++ b/src/sandladder/jobs/transitions.py
@@ -159,8 +159,8 @@
     if job.spec.kind == GANG and ended.outcome != AttemptOutcome.DONE:
         # A gang that lost a task is stopped and rescheduled as a whole.
         for task, attempt in job.live.items():
-            if attempt.stop is None:
-                job.live[task] = attempt._replace(stop=0.0)
+            if attempt.stop_grace_s is None:
+                job.live[task] = attempt._replace(stop_grace_s=0.0)
 
 
 def same_attempt(live: Attempt | None, other: Attempt) -> bool:
@@ -187,8 +187,8 @@
     changed = False
     for task in selected:
         attempt = job.live[task]
-        if attempt.stop is None or grace_s < attempt.stop:
-            job.live[task] = attempt._replace(stop=grace_s)
+        if attempt.stop_grace_s is None or grace_s < attempt.stop_grace_s:
+            job.live[task] = attempt._replace(stop_grace_s=grace_s)
             changed = True
     return changed
 
--- a/src/sandladder/model/attempts.py
+++ b/src/sandladder/model/attempts.py
@@ -27,14 +27,14 @@
         zone: the machine's zone.
         agent_epoch: the epoch of the machine's agent.
         attempt: the attempt's number within the job; all tasks of a gang start with the same one.
-        stop: the grace period in seconds if the attempt is to be stopped, else None.
+        stop_grace_s: the grace period in seconds if the attempt is to be stopped, else None.
     """
 
     machine: str
     zone: str
     agent_epoch: int
     attempt: int
-    stop: float | None = None
+    stop_grace_s: float | None = None
 
 
 class EndedAttempt(NamedTuple):
--- a/src/sandladder/scheduling/preemption.py
+++ b/src/sandladder/scheduling/preemption.py
@@ -133,7 +133,7 @@
             for job, task, attempt in cluster_view.cache.attempts_on(machine):
                 if job.id not in services:
                     continue
-                if attempt.stop is not None or (job.id, task) in self._claims:
+                if attempt.stop_grace_s is not None or (job.id, task) in self._claims:
                     continue
                 reason = self._eviction_reason(machine, evictions)
                 if reason is None:
--- a/src/sandladder/scheduling/victim_selection.py
+++ b/src/sandladder/scheduling/victim_selection.py
@@ -99,7 +99,7 @@
     ) -> tuple[float, list[PreemptionVictim]] | None:
         """Return the tasks on a machine to preempt for a waiting task, and their cost, or None."""
         running = [_Running(*item) for item in self._cluster_view.cache.attempts_on(capacity.id)]
-        if any(item.attempt.stop is not None for item in running):
+        if any(item.attempt.stop_grace_s is not None for item in running):
             return None  # its capacity after these stops is not known yet
         cpus, gpus, memory_gb = capacity.cpus, capacity.gpus, capacity.memory_gb
         cost = 2 * self._cluster_view.fetch_s(spec, capacity)
--- a/src/sandladder/state/codecs/jobs.py
+++ b/src/sandladder/state/codecs/jobs.py
@@ -50,7 +50,7 @@
     """Encode the live attempts, grouped by number and stop, then by machine, zone and epoch."""
     groups: dict[tuple[int, float | None], dict[tuple[str, str, int], Ranges]] = {}
     for task, attempt in job.live.items():
-        group = groups.setdefault((attempt.attempt, attempt.stop), {})
+        group = groups.setdefault((attempt.attempt, attempt.stop_grace_s), {})
         group.setdefault(attempt[:3], Ranges()).add(task)
     index_of = {zone: index for index, zone in enumerate(zones)}
     return [
--- a/tests/test_transitions.py
+++ b/tests/test_transitions.py
@@ -41,7 +41,7 @@
     assert end(transaction, [EndedAttempt(gang.id, 0, gang.live[0], outcome)], 0.0)
     commit(cache, transaction)
     gang = cache.jobs[gang.id]
-    assert set(gang.live) == {1, 2} and all(a.stop == 0.0 for a in gang.live.values())
+    assert set(gang.live) == {1, 2} and all(a.stop_grace_s == 0.0 for a in gang.live.values())
     assert planner.plan([gang], {}) == []  # the previous attempt is still live
     transaction = Transaction(cache)
     assert end(
