--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,4 +1,4 @@
-"""The HTTP server and client on loopback, against well and badly behaved peers."""
+"""Tests of the HTTP server and client on loopback, with valid and misbehaving peers."""
 
 import socket
 import time
@@ -18,14 +18,14 @@
 CHUNK = b"3e8\r\n" + b"x" * BODY_LIMIT + b"\r\n"
 
 
-async def echo(request: Request) -> Response:
-    """The handler of these tests."""
+async def handle(request: Request) -> Response:
+    """Answer as the path requests."""
     if request.path == "/busy":
         return Response(503, b"", 7)
     if request.path == "/never":
         await anyio.sleep_forever()
     if request.path == "/broken":
-        raise ValueError("a fault of the handler")
+        raise ValueError("handler failure")
     return Response(200, request.method.encode() + b" " + request.body)
 
 
@@ -36,11 +36,11 @@
 
 
 @asynccontextmanager
-async def serving() -> AsyncIterator[int]:
-    """A server that answers; its port."""
+async def running_server() -> AsyncIterator[int]:
+    """Run a server, wait until it responds, and yield its port."""
     port = free_port()
     server = HttpServer(
-        echo, body_limit=BODY_LIMIT, idle_s=20.0, read_s=READ_S, max_connections=MAX_CONNECTIONS
+        handle, body_limit=BODY_LIMIT, idle_s=20.0, read_s=READ_S, max_connections=MAX_CONNECTIONS
     )
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(server.serve, "127.0.0.1", port)
@@ -58,10 +58,10 @@
 
 
 def run_with_server(test: Callable[[int], Awaitable[None]]) -> None:
-    """Run a test against a server; whatever the test did, others must be served afterwards."""
+    """Run a test against a server and check that it still serves other clients afterwards."""
 
     async def main() -> None:
-        async with serving() as port:
+        async with running_server() as port:
             await test(port)
             client = HttpClient("127.0.0.1", port)
             for _ in range(3):
@@ -73,7 +73,7 @@
 
 
 async def exchange_bytes(port: int, data: bytes) -> bytes:
-    """Send bytes and return all that comes until the server closes the connection."""
+    """Send bytes and return everything received until the server closes the connection."""
     async with await anyio.connect_tcp("127.0.0.1", port) as stream:
         received = b""
         try:
@@ -87,37 +87,39 @@
 @pytest.mark.parametrize(
     ("data", "status"),
     [
-        pytest.param(b"nonsense\r\n\r\n", b" 400 ", id="no HTTP"),
+        pytest.param(b"nonsense\r\n\r\n", b" 400 ", id="not HTTP"),
         pytest.param(
             b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 2000\r\n\r\n",
             b" 413 ",
-            id="a body announced over the limit",
+            id="content length over the limit",
         ),
         pytest.param(
             b"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n" + CHUNK * 2,
             b" 413 ",
-            id="a body that grows over the limit",
+            id="chunked body over the limit",
         ),
     ],
 )
-def test_a_bad_request_is_refused_and_costs_no_one_else(data: bytes, status: bytes) -> None:
+def test_an_invalid_request_is_rejected_without_affecting_other_clients(
+    data: bytes, status: bytes
+) -> None:
     async def test(port: int) -> None:
         assert status in await exchange_bytes(port, data)
 
     run_with_server(test)
 
 
-def test_a_peer_that_stalls_within_a_request_is_closed() -> None:
+def test_a_connection_that_stalls_within_a_request_is_closed() -> None:
     async def test(port: int) -> None:
-        began = time.monotonic()
+        started_at = time.monotonic()
         data = b"POST / HTTP/1.1\r\nHost: x\r\nContent-Le"
         assert await exchange_bytes(port, data) == b""
-        assert time.monotonic() - began >= 0.9 * READ_S
+        assert time.monotonic() - started_at >= 0.9 * READ_S
 
     run_with_server(test)
 
 
-def test_connections_over_the_bound_are_closed_at_once() -> None:
+def test_connections_over_the_limit_are_closed_immediately() -> None:
     async def test(port: int) -> None:
         async with AsyncExitStack() as connections:
             for _ in range(MAX_CONNECTIONS):
@@ -128,7 +130,7 @@
                 assert b" 200 " in await stream.receive()
             with anyio.fail_after(5.0):
                 assert await exchange_bytes(port, GET) == b""
-        # Once the server has noticed that these have ended, others are served.
+        # The server accepts connections again after it has noticed that these are closed.
         with anyio.fail_after(5.0):
             while b" 200 " not in await exchange_bytes(port, LAST_GET):
                 await anyio.sleep(0.01)
@@ -136,7 +138,7 @@
     run_with_server(test)
 
 
-def test_a_handler_that_fails_ends_its_own_connection_alone() -> None:
+def test_a_failing_handler_closes_only_its_own_connection() -> None:
     async def test(port: int) -> None:
         client = HttpClient("127.0.0.1", port)
         with pytest.raises(HttpError):
@@ -145,7 +147,7 @@
     run_with_server(test)
 
 
-def test_retry_after_reaches_the_client() -> None:
+def test_the_client_reads_retry_after() -> None:
     async def test(port: int) -> None:
         client = HttpClient("127.0.0.1", port)
         response = await client.request("GET", "/busy", timeout=5.0)
@@ -155,7 +157,7 @@
     run_with_server(test)
 
 
-def test_a_request_without_a_response_in_time_is_an_error() -> None:
+def test_a_response_timeout_raises_an_error() -> None:
     async def test(port: int) -> None:
         client = HttpClient("127.0.0.1", port)
         with pytest.raises(HttpError, match=r"no answer within 0\.1 s"):
@@ -164,7 +166,7 @@
     run_with_server(test)
 
 
-def test_a_refused_connection_is_an_error() -> None:
+def test_a_refused_connection_raises_an_error() -> None:
     async def main() -> None:
         client = HttpClient("127.0.0.1", free_port())
         with pytest.raises(HttpError, match="Error"):
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -1,4 +1,4 @@
-"""Messages from outside: what is malformed raises one error, and what is sound is read in full."""
+"""Tests of the protocol: malformed messages raise `MalformedMessageError`, valid ones are read."""
 
 import contextlib
 from random import Random
@@ -21,7 +21,7 @@
 from simulation import job
 
 OPTIONAL_FIELDS = ("breeds", "district", "due_s", "awaits")
-ODD_VALUES: list[Any] = [
+EDGE_VALUES: list[Any] = [
     None, True, -1, float("nan"), float("inf"), "", "x" * 200, [], {}, 2**70, "job-1", "a\n",
 ]  # fmt: skip
 HEARTBEAT = {
@@ -41,12 +41,12 @@
 }
 
 
-def test_hostile_bodies_are_malformed_and_nothing_else() -> None:
+def test_corrupted_bodies_raise_only_malformed_message_errors() -> None:
     rng = Random(3)
     job_messages.parse_submission(cbor2.dumps(job(1)))
     for _ in range(3000):
         body = dict(job(1))
-        body[rng.choice(list(body))] = rng.choice(ODD_VALUES)
+        body[rng.choice(list(body))] = rng.choice(EDGE_VALUES)
         raw = bytearray(cbor2.dumps(body))
         if rng.random() < 0.5:
             raw[rng.randrange(len(raw))] = rng.randrange(256)
@@ -72,28 +72,38 @@
 
 
 @pytest.mark.parametrize("field", OPTIONAL_FIELDS)
-def test_a_submission_may_lack_a_field_that_may_be_null(field: str) -> None:
+def test_an_absent_optional_field_equals_null(field: str) -> None:
     body = cbor2.dumps({key: value for key, value in job(1).items() if key != field})
     assert job_messages.parse_submission(body) == job_messages.parse_submission(cbor2.dumps(job(1)))
 
 
 @pytest.mark.parametrize("body", [b"", b"\x00\x00", b"\xff", b"nonsense", cbor2.dumps([1])])
-def test_a_body_that_is_no_map_is_malformed_as_a_whole(body: bytes) -> None:
+def test_the_error_for_a_body_that_is_not_a_map_names_no_field(body: bytes) -> None:
     with pytest.raises(MalformedMessageError) as raised:
         loads_map(body)
     assert raised.value.field == ""
 
 
-def test_a_heartbeat_is_read_in_full() -> None:
-    found = agent_messages.parse_heartbeat(HEARTBEAT)
-    assert (found.machine, found.type, found.zone, found.spot) == ("vm-000231", "g8", "a", True)
-    assert (found.agent_epoch, found.sequence_number, found.fencing_token, found.notice_s) == (
+def test_a_heartbeat_is_parsed_completely() -> None:
+    heartbeat = agent_messages.parse_heartbeat(HEARTBEAT)
+    assert (heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot) == (
+        "vm-000231",
+        "g8",
+        "a",
+        True,
+    )
+    assert (
+        heartbeat.agent_epoch,
+        heartbeat.sequence_number,
+        heartbeat.fencing_token,
+        heartbeat.notice_s,
+    ) == (
         1,
         88,
         41,
         None,
     )
-    assert [(t.job, t.task, t.attempt, t.state, t.cause) for t in found.tasks] == [
+    assert [(t.job, t.task, t.attempt, t.state, t.cause) for t in heartbeat.tasks] == [
         ("job-000412", 3, 2, "running", ""),
         ("job-000398", 0, 1, "exited", "peers"),
     ]
@@ -106,7 +116,7 @@
     assert raised.value.field == field
 
 
-def test_commands_are_written_in_their_order() -> None:
+def test_commands_are_encoded_in_order() -> None:
     commands = [
         Command("start", "job-000412", 4, 2),
         Command("stop", "job-000377", 1, 1, 10),
@@ -125,7 +135,7 @@
     assert loads(body) == value | {"shift": 1}
 
 
-def test_a_machine_type_may_lack_what_it_does_not_have() -> None:
+def test_absent_optional_fields_of_a_machine_type_are_zero() -> None:
     raw = {"label": "c1", "vcpus": 4, "ram_gb": 16, "pull_gb_per_s": 1.0, "price": 0.2}
     raw |= {"boot_s": 9, "districts": ["a", "b"]}
     machine_type = MachineType("c1", 4.0, 0.0, 16.0, 0.0, 1.0, 0.2, 0.0, 9.0, ("a", "b"))
@@ -135,17 +145,19 @@
         cloud_messages.parse_catalog(codec.dumps({"breeds": []}))
 
 
-def test_pages_of_the_machine_list_begin_after_the_last_machine() -> None:
+def test_the_target_of_a_machine_page_names_the_last_machine_before_it() -> None:
     assert cloud_messages.machines_target("") == "/machines?most=500"
     assert cloud_messages.machines_target("vm-1") == "/machines?after=vm-1&most=500"
 
 
 @pytest.mark.parametrize(("ttl_s", "ttl_ms"), [(0.001, 100), (5.0, 5000), (1e9, 600_000)])
-def test_the_time_of_a_lease_stays_within_what_the_store_allows(ttl_s: float, ttl_ms: int) -> None:
+def test_the_ttl_of_a_lease_is_clamped_to_the_limits_of_the_store(
+    ttl_s: float, ttl_ms: int
+) -> None:
     assert loads(store_messages.lease_body(ttl_s)) == {"ttl_ms": ttl_ms}
 
 
-def test_changes_are_read_with_their_versions_and_deletions_without_a_value() -> None:
+def test_changes_are_parsed_with_versions_and_deletions_without_values() -> None:
     body = codec.dumps(
         {
             "ledger": 433,
@@ -155,7 +167,7 @@
     assert store_messages.parse_events(body) == (433, [("c/9", [1], 433), ("c/d", None, 432)])
 
 
-def test_a_transaction_names_the_versions_that_it_expects() -> None:
+def test_a_transaction_contains_its_expected_versions() -> None:
     body = store_messages.commit_body([("a", 0)], [("b", 1, None), ("c", 2, 7)], ["d"])
     assert loads(body) == {
         "guards": [{"key": "a", "edition": 0}],
--- a/tests/test_vocabulary.py
+++ b/tests/test_vocabulary.py
@@ -1,7 +1,7 @@
-"""The protocol's field names live in the package `protocol` alone; everything else speaks `model`.
+"""Checks that only the package `protocol` uses the protocol's field names.
 
-Read from the sources: identifiers of any kind, strings that are keys (a text that is one such name as
-a whole, and parameters in targets), in every module but those of `protocol`.
+Searches every other module's source for these names: as parts of identifiers, as whole strings, and
+as query parameters within strings.
 """
 
 import ast
@@ -19,8 +19,8 @@
     path for path in ROOT.rglob("*.py") if path.relative_to(ROOT).parts[0] != "protocol"
 )
 
-# Field names and words of the protocol that are not the terms of this program, and the terms.
-# Fields whose name is the term as well (`id`, `gpus`, `addr`, `price`, `cause` ...) are not listed.
+# The protocol's field names and words that differ from this program's terms, by name.  Names that
+# are also the program's terms (`id`, `gpus`, `addr`, `price`, `cause` ...) are not listed.
 TERMS = {
     "apart": "spread",
     "bookmark_s": "checkpoint_s",
@@ -30,7 +30,7 @@
     "clerk": "reporting_controller",
     "district": "zone",
     "districts": "zones",
-    "docket": "cls",
+    "docket": "job_class",
     "due_s": "deadline_s",
     "edition": "version",
     "entries": "tasks",
@@ -58,20 +58,20 @@
     "rungs": "machines",
     "same_place": "one_zone",
     "seal": "fencing_token",
-    "shift": "session",
+    "shift": "agent_epoch",
     "stamp_s": "save_s",
     "standing": "state",
-    "tally": "seq",
+    "tally": "sequence_number",
     "tenure": "lease",
     "vcpus": "cpus",
     "verb": "operation",
 }
 # Query parameters of the protocol's targets.
 PARAMETERS = re.compile(r"\b(?:after|block_ms|most|prefix)=")
-# Where one of these names means something else.
+# Uses of these names in another sense, by module and name.
 ANOTHER_SENSE = {
     ("autoscaling/waiting_work.py", "due_s"): "the time left until a job is due",
-    ("membership/policy.py", "rank"): "the place of a controller among those that may act",
+    ("membership/policy.py", "rank"): "the position of a controller among the healthy members",
     **{
         (f"state/{module}.py", name): "a key of the store with its value and version"
         for module in ("__init__", "entries", "store_client", "watch")
@@ -80,9 +80,9 @@
     ("state/codecs/schema.py", "form"): "a field of stored records",
     ("state/keys.py", "form"): "a key of stored records",
 }
-# Where it does not yet: the name is to be replaced by its term.
+# Uses that are still to be replaced by the term.
 NOT_RENAMED = {
-    ("agents/constants.py", "flushing"): "a task's state is not translated by protocol yet",
+    ("agents/constants.py", "flushing"): "the protocol package does not translate task states yet",
 }
 ALLOWED = ANOTHER_SENSE | NOT_RENAMED
 
@@ -106,7 +106,7 @@
 
 
 def _strings(tree: ast.AST) -> Iterator[str]:
-    """Texts that are not docstrings, with the fixed parts of f-strings."""
+    """Yield string constants other than docstrings, including the fixed parts of f-strings."""
     docstrings = {id(node.value) for node in ast.walk(tree) if isinstance(node, ast.Expr)}
     for node in ast.walk(tree):
         match node:
@@ -117,15 +117,15 @@
 
 
 def _words(identifier: str) -> set[str]:
-    """The name without leading underscores, its parts, and its parts with a unit."""
+    """Return an identifier in snake case, its parts, and its pairs of adjacent parts."""
     snake = re.sub(r"(?<=[a-z0-9])(?=[A-Z])", "_", identifier).lower().strip("_")
     parts = snake.split("_")
     pairs = {f"{first}_{second}" for first, second in itertools.pairwise(parts)}
     return {snake, *parts, *pairs}
 
 
-def themed_names(source: str) -> set[str]:
-    """The protocol's names that a module uses."""
+def protocol_names(source: str) -> set[str]:
+    """Return the protocol's names that a module uses."""
     tree = ast.parse(source)
     found = {word for name in _identifiers(tree) for word in _words(name) & TERMS.keys()}
     for text in _strings(tree):
@@ -135,15 +135,15 @@
 
 
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: str(path.relative_to(ROOT)))
-def test_a_module_uses_no_field_name_of_the_protocol(path: Path) -> None:
+def test_a_module_uses_no_protocol_names(path: Path) -> None:
     module = str(path.relative_to(ROOT))
     allowed = {name for where, name in ALLOWED if where == module}
-    found = themed_names(path.read_text("utf-8"))
+    found = protocol_names(path.read_text("utf-8"))
     assert found - allowed == set(), {name: TERMS.get(name) for name in found - allowed}
-    assert allowed - found == set(), "allowed, but not used any more"
+    assert allowed - found == set(), "allowed but no longer used"
 
 
-def test_every_exception_is_of_a_module_that_exists() -> None:
+def test_every_allowed_use_names_an_existing_module() -> None:
     assert {where for where, _ in ALLOWED} <= {str(path.relative_to(ROOT)) for path in MODULES}
 
 
@@ -161,5 +161,5 @@
         ("class Platform: perform: int", set()),
     ],
 )
-def test_the_search_finds_names_and_keys_but_no_prose(source: str, found: set[str]) -> None:
-    assert themed_names(source) == found
+def test_the_search_finds_identifiers_and_keys_but_no_prose(source: str, found: set[str]) -> None:
+    assert protocol_names(source) == found
