--- a/src/sandladder/concurrency.py
+++ b/src/sandladder/concurrency.py
@@ -54,7 +54,7 @@
         self._group = group
 
     def start_soon(
-        self, routine: Callable[..., Coroutine[Any, Any, Any]], *arguments: object
+        self, function: Callable[..., Coroutine[Any, Any, Any]], *arguments: object
     ) -> None:
         """Start a coroutine function as a task in the group.
 
@@ -63,4 +63,4 @@
         """
         if self._group is None:
             raise RuntimeError("the task group has not been opened")
-        self._group.start_soon(routine, *arguments)
+        self._group.start_soon(function, *arguments)
--- a/src/sandladder/protocol/codec.py
+++ b/src/sandladder/protocol/codec.py
@@ -42,7 +42,7 @@
     """Decode a body.
 
     Raises:
-        MalformedMessageError: the body is not exactly one CBOR item.
+        MalformedMessageError: the body is not CBOR.
     """
     try:
         return cbor2.loads(body)
--- a/src/sandladder/transport/http_server.py
+++ b/src/sandladder/transport/http_server.py
@@ -89,7 +89,7 @@
             try:
                 request = await self._read_request(stream, conn)
             except (h11.RemoteProtocolError, _BodyTooLargeError) as error:
-                await self._refuse(stream, conn, error)
+                await self._send_error(stream, conn, error)
                 return
             if request is None:
                 return
@@ -155,7 +155,9 @@
                 return b""
         return None
 
-    async def _refuse(self, stream: SocketStream, conn: h11.Connection, error: Exception) -> None:
+    async def _send_error(
+        self, stream: SocketStream, conn: h11.Connection, error: Exception
+    ) -> None:
         """Send the error response to an invalid or too large request, if that is still possible."""
         if conn.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
