--- a/src/sandladder/model/__init__.py
+++ b/src/sandladder/model/__init__.py
@@ -1,11 +1,11 @@
-"""What the cluster's state consists of: jobs, attempts, machines, agents, members, quotas.
+"""The cluster's state: jobs, attempts, machines, agents, members and quotas.
 
-Plain values and the rules that follow from them alone.  The package owns no state of its own but
-`DependencyIndex`, which an owner of jobs keeps up.  Nothing here does I/O, reads a clock or draws
-random numbers, and nothing says how a value is spelled on the wire or in the store: that is
-`sandladder.protocol` and `sandladder.state.codecs`.
+The package holds value types and the rules that depend on them alone.  Its only mutable types are
+`Job`, `Ranges` and `DependencyIndex`, which their owner updates.  Nothing here does I/O, reads a
+clock or draws random numbers.  `sandladder.protocol` encodes values for the wire,
+`sandladder.state.codecs` for the store.
 
-Times of day are seconds since the epoch; durations are in seconds; sizes in gigabytes.
+Times of day are in seconds since the Unix epoch, durations in seconds, sizes in gigabytes.
 """
 
 from sandladder.model.agents import AgentHeartbeat, ClockReading, Command, TaskStatus
@@ -30,9 +30,9 @@
     zones_allowed,
 )
 from sandladder.model.machines import (
+    ACTIVE,
     DRAINING,
     GONE,
-    RENTED,
     ListedMachine,
     Machine,
     MachineInventory,
@@ -55,6 +55,7 @@
 from sandladder.model.schema import SCHEMA_V1, SCHEMA_V2
 
 __all__ = [
+    "ACTIVE",
     "ARRAY",
     "CANCELLED",
     "DONE",
@@ -73,7 +74,6 @@
     "PENDING",
     "PRODUCTION",
     "REFUSALS",
-    "RENTED",
     "RUNNING",
     "SCHEMA_V1",
     "SCHEMA_V2",
