--- a/tests/simulation/__init__.py
+++ b/tests/simulation/__init__.py
@@ -1,14 +1,14 @@
-"""A simulated cluster in virtual time: real controllers, everything around them simulated.
+"""Deterministic simulation of a cluster in virtual time: real controllers, all else simulated.
 
-The package has the event loop with its virtual clock, the network, the state service, the cloud,
-the workers, the users, the faults that can strike each of these, and the rules of the protocol.
-After every step of a worker and every answer to a user the rules are checked; a broken rule is
-collected in `SimulatedCluster.violations`.  Everything random is drawn from one seed, in the order of
-the events: the same seed gives the same run, event by event, whatever the hash seed of the process.
+The package contains the event loop with its virtual clock, the network, the key-value store, the
+cloud, the workers, the users, fault injection for each of these, and the rules of the protocol.
+The rules are checked after every step of a worker and every response to a user; violations are
+collected in `SimulatedCluster.violations`.  All random values are drawn from one seeded generator
+in the order of the events: the same seed gives the same run, regardless of the hash seed.
 
-`workloads` has jobs, `faults` has faults that strike a whole cluster, `fault_scenarios` runs users
-and faults together and checks how all ends.  The package imports no test and never reads the state
-of a controller to decide whether a rule is kept.
+`workloads` generates jobs, `faults` injects faults into a whole cluster, `fault_scenarios` runs
+users and faults concurrently and checks the recovery.  The package imports no test and never reads
+the state of a controller to decide whether a rule is violated.
 """
 
 from simulation.cluster import SimulatedCluster, run
--- a/tests/simulation/answer_consistency.py
+++ b/tests/simulation/answer_consistency.py
@@ -1,15 +1,15 @@
-"""Checks of what users were answered.
+"""Consistency checks of the responses to users.
 
-Answers are ordered in real time: a request sent after an answer arrived never gets an older one.
-Requests in flight at the same time may differ.  But of `done` and `cancelled` only one is ever
-answered for a job, whatever the order.
+Responses are ordered in real time: a request that is sent after a response arrived never returns an
+older state.  Concurrent requests may return different states.  The final state of a job, `done` or
+`cancelled`, is the same in all responses.
 """
 
 from collections.abc import Callable
 from typing import Any
 
 FINAL_STATES = ("done", "cancelled")
-# The fields that a submission must have.
+# The required fields of a submission.
 REQUIRED_FIELDS = (
     "id", "docket", "bureau", "form", "rank", "entries", "vcpus", "gpus", "ram_gb", "parcel",
     "image_gb", "same_place", "apart", "loaners", "expect_s", "bookmark_s", "stamp_s",
@@ -17,39 +17,39 @@
 
 
 class AnswerHistory:
-    """The answers that arrived about each job, and when first; all times in virtual seconds."""
+    """The responses about each job, with the time of the first; times are in virtual seconds."""
 
     def __init__(self, record_violation: Callable[[str, str], None]) -> None:
         self._record_violation = record_violation
         self.accepted_at: dict[str, float] = {}
-        self.over: dict[str, str] = {}  # the final state that was answered first
+        self.over: dict[str, str] = {}  # the first final state in a response
         self.over_at: dict[str, float] = {}
 
     def check_unknown(self, job_id: str, sent: float, status: int) -> None:
-        """A 404, 400 or 422 arrived for a request about this job.
+        """Check a response 404, 400 or 422 to a request about a job.
 
         Rule `forgotten`: an accepted job gets 404, or a repeated submission of it gets 400 or 422.
         """
         if sent > self.accepted_at.get(job_id, sent):
             self._record_violation("forgotten", f"{job_id} got {status}")
 
-    def check_accepted_anew(self, job_id: str, sent: float) -> None:
-        """A 201 arrived for a submission.
+    def check_accepted_again(self, job_id: str, sent: float) -> None:
+        """Check a response 201 to a submission.
 
-        Rule `forgotten`: a submission that is repeated after its acceptance gets 200, not 201.
+        Rule `forgotten`: a submission that is repeated after its acceptance gets 201, not 200.
         """
         if sent > self.accepted_at.get(job_id, sent):
-            self._record_violation("forgotten", f"{job_id} was accepted anew")
+            self._record_violation("forgotten", f"{job_id} was accepted again")
 
     def check_state(self, job_id: str, state: str, sent: float, arrived: float) -> None:
-        """An answer arrived that says in which state a job is.
+        """Check a response with the state of a job.
 
-        Rule `went_back`: a job that was called done or cancelled is called something else.
+        Rule `went_back`: a job that was reported done or cancelled is reported in another state.
         """
         self.accepted_at.setdefault(job_id, arrived)
         before = self.over.get(job_id)
         if state in FINAL_STATES:
-            # One of the two answers was wrong, whichever request was sent first.
+            # One of the two responses was wrong, regardless of the order of the requests.
             if before not in (None, state):
                 self._record_violation("went_back", f"{job_id} was {before}, is {state}")
             self.over.setdefault(job_id, state)
@@ -59,7 +59,7 @@
 
 
 def lacks_field(spec: dict[str, Any]) -> bool:
-    """Whether a submission lacks a field that may not be absent."""
+    """Return whether a submission lacks a required field."""
     return any(spec.get(field) is None for field in REQUIRED_FIELDS)
 
 
@@ -69,7 +69,7 @@
     zones: list[str],
     teams: list[dict[str, Any]],
 ) -> bool:
-    """Whether a job can never run, by the protocol's page and not by the code under test."""
+    """Return whether a job can never run, independently of the code under test."""
     team = next((team for team in teams if team["name"] == spec["bureau"]), None)
     if team is None:
         return True
@@ -87,6 +87,6 @@
 
 
 def is_over_limit(team: dict[str, Any], cpus: float, gpus: float) -> bool:
-    """Whether a team that uses so much is over its limit; a limit of 0 means that it has none."""
+    """Return whether a usage exceeds the limit of a team; a limit of 0 means unlimited."""
     limits = ((team.get("cpus_max", 0.0), cpus), (team.get("gpus_max", 0.0), gpus))
     return any(limit > 0 and used > limit for limit, used in limits)
--- a/tests/simulation/cloud.py
+++ b/tests/simulation/cloud.py
@@ -1,4 +1,4 @@
-"""The simulated cloud: it rents machines, and its list of them lags behind."""
+"""The simulated cloud provider, whose machine list is eventually consistent."""
 
 import itertools
 from collections import deque
@@ -14,42 +14,42 @@
 from simulation.shared_state import SharedState
 from simulation.workers import Worker
 
-# How often the list is recorded, in seconds, and how many records are kept.
-_RECORD_S = 0.5
-_RECORDS = 200
-# A machine that failed is listed as running for so long, in seconds.
-_FAILURE_SHOWN_S = 15
+# Interval between snapshots of the machine list, in seconds, and the number of snapshots kept.
+_SNAPSHOT_INTERVAL_S = 0.5
+_MAX_SNAPSHOTS = 200
+# Delay until the list shows a failed machine as failed, in seconds.
+_FAILURE_LIST_DELAY_S = 15
 _NEVER_S = 1e6
 _FAST_BOOT_S = (0.1, 2.0)
 
 
 class Cloud:
-    """Rents machines by name; a repeated request gets the same answer."""
+    """Rents machines; a repeated request with the same name is idempotent."""
 
     def __init__(self, shared: SharedState) -> None:
         self._shared = shared
         self.workers: dict[str, Worker] = {}
-        self._rentals: dict[str, list[str]] = {}  # machines by the name of the request
+        self._rentals: dict[str, list[str]] = {}  # machine names by the name of the request
         self._numbers = itertools.count(1)
-        self._history: deque[tuple[float, list[dict[str, Any]]]] = deque(maxlen=_RECORDS)
-        self.capacity = 8  # machines that it rents at once
+        self._history: deque[tuple[float, list[dict[str, Any]]]] = deque(maxlen=_MAX_SNAPSHOTS)
+        self.capacity = 8  # maximum number of machines rented at the same time
         # Faults.
-        self.full_zones: set[str] = set()  # where nothing can be rented now
-        self.fast_boot_share = 0.0  # machines that are up within two seconds
-        self.never_booting = 0  # so many of the first machines never boot
+        self.full_zones: set[str] = set()  # zones without capacity
+        self.fast_boot_share = 0.0  # share of the machines that boot within two seconds
+        self.never_booting = 0  # the first N machines never boot
 
     async def watch(self) -> None:
-        """Record the list of machines, until cancelled."""
+        """Record snapshots of the machine list until cancelled."""
         while True:
             self._history.append((now(), [self._describe(w) for w in self._listed()]))
-            await anyio.sleep(_RECORD_S)
+            await anyio.sleep(_SNAPSHOT_INTERVAL_S)
 
     def _listed(self) -> list[Worker]:
         return [w for w in self.workers.values() if w.state != "deleted"]
 
     @staticmethod
     def _describe(worker: Worker) -> dict[str, Any]:
-        failed = worker.state == "failed" and now() - (worker.gone_at or 0) > _FAILURE_SHOWN_S
+        failed = worker.state == "failed" and now() - (worker.gone_at or 0) > _FAILURE_LIST_DELAY_S
         alive = "starting" if worker.state == "starting" else "running"
         return {
             "id": worker.name,
@@ -62,7 +62,7 @@
         }
 
     async def handle(self, source: str, request: Request) -> Response:
-        """Handle one request of a controller."""
+        """Handle a request of a controller."""
         path = urlsplit(request.path).path
         if path == "/catalog":
             return self._catalog()
@@ -106,7 +106,7 @@
         return Response(200, cbor2.dumps({"rungs": self._rentals[rental]}))
 
     def add(self, kind: str, zone: str, spot: bool) -> str:
-        """Rent one machine more; its name."""
+        """Add a machine and return its name."""
         name = f"vm-{next(self._numbers):06d}"
         worker = Worker(self._shared, name, kind, zone, spot)
         self.workers[name] = self._shared.machines[name] = worker
--- a/tests/simulation/cluster.py
+++ b/tests/simulation/cluster.py
@@ -1,4 +1,4 @@
-"""The whole simulation: controllers, store, cloud, workers and users on one network."""
+"""The simulated cluster: controllers, store, cloud, workers and users on one network."""
 
 import functools
 from collections import Counter
@@ -20,13 +20,13 @@
 from simulation.store import Store
 from simulation.users import Users
 
-# How long a user waits for a response, and a replayed heartbeat for its own, in seconds.
+# Response timeouts of a user's request and of a replayed heartbeat, in seconds.
 _USER_TIMEOUT_S = 5.0
 _HEARTBEAT_TIMEOUT_S = 4.0
 
 
 class SimulatedCluster(SharedState):
-    """A cluster in virtual time; everything random in it follows from one seed."""
+    """A cluster in virtual time; all random values are drawn from one seeded generator."""
 
     def __init__(
         self,
@@ -40,8 +40,14 @@
     ) -> None:
         """Build a cluster of `count` controllers.
 
-        Grown: ten times the teams' limits and small values in the store.  Old: the controllers
-        are of the version in production.  `state`: what the settings say of the store besides.
+        Args:
+            seed: Seed of the random generator.
+            count: Number of controllers.
+            grown: Use ten times the teams' limits, and small values in the store.
+            old: Run the controllers of the version in production.
+            cancel_s: Time limit for stopping the tasks of a cancelled job, in seconds.
+            limits: Teams with their guarantees and limits, in place of the default ones.
+            state: Overrides of the store's settings.
         """
         teams = team_limits(grown) if limits is None else limits
         super().__init__(seed, count, cancel_s, teams)
@@ -52,34 +58,34 @@
         self.controllers = Controllers(self, grown, old, state)
         self.network.on_commands = self.controllers.note_commands
         self.users = Users(self)
-        # What tests use most, at hand.
+        # Shortcuts for tests.
         self.versions = self.controllers.versions
         self.boot, self.crash = self.controllers.boot, self.controllers.crash
         self.freeze, self.thaw = self.controllers.freeze, self.controllers.thaw
         self.slow = self.controllers.slow
-        self.submit, self.offer = self.users.submit, self.users.offer
+        self.submit, self.submit_once = self.users.submit, self.users.submit_once
         self.poll, self.cancel = self.users.poll, self.users.cancel
         self.until_running, self.until_done = self.users.until_running, self.users.until_done
 
     def start(self, tasks: Any) -> None:
-        """Start everything in a task group."""
+        """Start the cloud and all controllers in a task group."""
         self.network.tasks = tasks
         tasks.start_soon(self.cloud.watch)
         for index in range(self.count):
             self.boot(index)
 
     def check(self) -> None:
-        """Check the rules about everything that is on a machine."""
+        """Check the rules about the tasks on all machines."""
         rules.check_machines(self)
 
     def apply_next_limits(self) -> None:
-        """The limits that the settings announce as `next` begin."""
+        """Apply the limits that the settings announce as `next`."""
         self.store.apply_next_limits()
 
     async def ask(
         self, method: str, path: str, body: Any = None, node: int | None = None
     ) -> Response:
-        """Send one request of a user to a controller; status 0 without a response in time."""
+        """Send a user's request to a controller; the status is 0 after a timeout."""
         target = f"node-{self.rng.randrange(self.count) if node is None else node}"
         raw = b"" if body is None else cbor2.dumps(body)
         request = Request(method, path, raw)
@@ -89,14 +95,14 @@
             return Response(0)
 
     def job_finished(self, job_id: str) -> None:
-        """The last task of a job has ended on its machine: users may read or cancel it now."""
+        """Let users read or cancel a job whose last task has ended on its machine."""
         self.users.read_concurrently(job_id, "ended")
         if self.cancel_at_end_share and self.rng.random() < self.cancel_at_end_share:
             self.observed["cancelled at its end"] += 1
             self.users.cancel_persistently(job_id)
 
     def replay_kept_heartbeats(self) -> None:
-        """The copies of heartbeats that were kept arrive, each at every controller."""
+        """Deliver the kept copies of heartbeats to every controller."""
         kept, self.kept_heartbeats = self.kept_heartbeats, []
         for machine, epoch, request in kept:
             self.observed["old heartbeat at every controller"] += len(self.nodes) == self.count
@@ -112,8 +118,8 @@
 
     # Liveness
 
-    def left_waiting(self) -> list[str]:
-        """Jobs that wait for a task's start although a machine and the team's limit allow it."""
+    def startable_jobs(self) -> list[str]:
+        """Return the pending jobs that the free capacity and the team's limit allow to start."""
         live = self._live_tasks()
         return [
             job_id
@@ -122,7 +128,7 @@
         ]
 
     def _live_tasks(self) -> list[Task]:
-        """The tasks that take room on a machine, also of machines that are gone."""
+        """Return the tasks that occupy a machine, including those on failed machines."""
         return [
             task
             for machine in self.machines.values()
@@ -131,7 +137,7 @@
         ]
 
     def _could_start(self, spec: dict[str, Any], live: list[Task]) -> bool:
-        """Whether a task of a job, or its gang, waits and could start."""
+        """Return whether a task of a job, or its gang, is pending and could start."""
         job_id = spec["id"]
         if not all(self.is_done(name) for name in spec.get("awaits") or ()):
             return False
@@ -147,23 +153,23 @@
         return not is_over_limit(team, cpus, gpus) and self._free_places(spec) >= needed
 
     def _free_places(self, spec: dict[str, Any]) -> int:
-        """For how many of a job's tasks there is capacity on machines that run."""
+        """Return the number of a job's tasks that the running machines have capacity for."""
         by_zone: Counter[str] = Counter()
         for machine in self.machines.values():
-            if _may_host(machine, spec):
+            if _can_host(machine, spec):
                 sizes = zip(machine.free(), ("vcpus", "gpus", "ram_gb"), strict=True)
                 fitting = min(free / spec[size] for free, size in sizes if spec[size])
                 by_zone[machine.zone] += int(fitting)
         if spec["same_place"]:
             return max(by_zone.values(), default=0)
         if spec["apart"]:
-            most = (spec["entries"] + 1) // 2
-            return sum(min(places, most) for places in by_zone.values())
+            zone_limit = (spec["entries"] + 1) // 2
+            return sum(min(places, zone_limit) for places in by_zone.values())
         return sum(by_zone.values())
 
 
-def _may_host(machine: Machine, spec: dict[str, Any]) -> bool:
-    """Whether a machine runs, is whole, and is of a kind that a job allows."""
+def _can_host(machine: Machine, spec: dict[str, Any]) -> bool:
+    """Return whether a machine is up and healthy, and meets the constraints of a job."""
     if machine.state != "running" or machine.faulty or machine.notice_until is not None:
         return False
     if (machine.spot and not spec["loaners"]) or spec["district"] not in (None, machine.zone):
@@ -172,7 +178,7 @@
 
 
 def run(cluster: SimulatedCluster, main: Callable[[], Awaitable[None]]) -> None:
-    """Run a test's main routine beside a cluster, in virtual time."""
+    """Run a test's main routine with a cluster, in virtual time."""
 
     async def body() -> None:
         async with anyio.create_task_group() as tasks:
@@ -180,7 +186,7 @@
             try:
                 await main()
             finally:
-                # A frozen controller could not end.
+                # A frozen controller could not handle its cancellation.
                 for processor in cluster.processors.values():
                     processor.thaw()
                 tasks.cancel_scope.cancel()
--- a/tests/simulation/controllers.py
+++ b/tests/simulation/controllers.py
@@ -1,4 +1,4 @@
-"""The controllers under test: real ones, of either version, with simulated sockets."""
+"""The controllers under test, of either version, with simulated sockets."""
 
 import asyncio
 import contextvars
@@ -20,14 +20,14 @@
 from simulation.peer_connection import SimulatedPeerConnection
 from simulation.shared_state import SharedState
 
-# What the time of day is ahead of the steady clock, in seconds.
-_WALL_CLOCK_AHEAD_S = 1e6
+# Offset of the wall clock from the monotonic clock, in seconds.
+_WALL_CLOCK_OFFSET_S = 1e6
 _NEVER_S = 1e6
 
 
 @functools.cache
 def controller_class(version: Any) -> Any:
-    """The class of a version's controllers, with simulated sockets."""
+    """Return the controller class of a version, with simulated sockets."""
 
     class SimulatedController(version.control.Controller):  # type: ignore[misc]
         """A controller whose requests and messages go through the simulated network."""
@@ -41,7 +41,7 @@
                 connect=lambda host, port, keep=4: SimulatedHttpClient(
                     shared.network, settings.node, host, failure
                 ),
-                wall=lambda: now() + _WALL_CLOCK_AHEAD_S,
+                wall=lambda: now() + _WALL_CLOCK_OFFSET_S,
             )
             connections = {
                 peer: SimulatedPeerConnection(shared, self.node, peer, version.mesh)
@@ -49,12 +49,12 @@
                 if peer != self.node
             }
             if hasattr(self, "mirror"):
-                self._add_todays_names()
+                self._add_current_names()
                 self.peers.links = connections
             self.peers.connections = connections
 
-        def _add_todays_names(self) -> None:
-            """Let the simulation use a controller of the version in production like today's."""
+        def _add_current_names(self) -> None:
+            """Alias the attributes of the production version to their current names."""
             self.cache, self.job_api = self.mirror, self.users
             self.heartbeat_interval_s = self.beat_s
             self.peers.heartbeat, self.peers.receive = self.peers.beat, self.peers.hear
@@ -65,7 +65,7 @@
             self._shared.record_violation("duty", f"{name}: {sys.exc_info()[1]!r}")
 
         def on_processor(self, step: Callable[[], object]) -> None:
-            """Have something done as one of this controller's own steps."""
+            """Schedule a callback on this controller's processor."""
             context = contextvars.copy_context()
             context.run(CURRENT_PROCESSOR.set, self._shared.processors[self.node])
             asyncio.get_running_loop().call_soon(step, context=context)
@@ -85,24 +85,24 @@
 
 
 class Controllers:
-    """Starts controllers, freezes them, slows them down and ends them."""
+    """Starts, freezes, slows down and crashes controllers."""
 
     def __init__(
         self, shared: SharedState, grown: bool, old: bool, state_settings: dict[str, Any]
     ) -> None:
         self._shared = shared
         self._grown = grown
-        # What the settings say of the store beyond the ordinary.
+        # Overrides of the store's settings.
         self._state_settings = state_settings
-        # The version that each controller is started with.
+        # The version that each controller runs from its next start.
         self.versions = [production.load() if old else TODAY] * shared.count
-        self._scopes: dict[str, anyio.CancelScope] = {}  # of the processes that run
+        self._scopes: dict[str, anyio.CancelScope] = {}  # of the running processes
 
     def boot(self, index: int, twin: bool = False) -> None:
-        """Start a controller that does not run.
+        """Start a controller unless it is running.
 
-        The platform never runs two processes of one controller; `twin` does so all the same.
-        Seen here: two faults started the same one, and the first was never ended.
+        The check prevents two faults from starting the same controller twice.  `twin` starts a
+        second process regardless, which the platform never does.
         """
         name = f"node-{index}"
         if name in self._scopes and not twin:
@@ -123,7 +123,7 @@
     async def _run(self, index: int) -> None:
         """Run a controller until cancelled."""
         shared, version = self._shared, self.versions[index]
-        found = settings(
+        controller_settings = settings(
             index,
             shared.count,
             self._grown,
@@ -132,13 +132,13 @@
             shared.teams,
             **self._state_settings,
         )
-        node = controller_class(version)(shared, found)
+        node = controller_class(version)(shared, controller_settings)
         shared.nodes[node.node] = node
         shared.network.handlers[node.node] = functools.partial(self._serve, node)
         await node.run()
 
     async def _serve(self, node: Any, source: str, request: Request) -> Response:
-        """Have a controller handle a request on its processor; never answered if it ends."""
+        """Handle a request on a controller's processor; never returns if the controller crashes."""
         responses: list[Response] = []
         answered = anyio.Event()
 
@@ -156,7 +156,7 @@
         return response
 
     def note_commands(self, commands: list[dict[str, Any]]) -> None:
-        """A controller sends commands to a worker: note starts of cancelled jobs."""
+        """Count the commands to a worker that start tasks of cancelled jobs."""
         for command in commands:
             job_id = command["entry"].partition("/")[0]
             answered_at = self._shared.cancelled_at.get(job_id)
@@ -164,19 +164,19 @@
                 self._shared.observed["start commanded after its job was cancelled"] += 1
 
     def freeze(self, index: int) -> None:
-        """Stop a controller's processor; its clocks and everything else go on."""
+        """Suspend a controller's processor; the clocks and all other parts continue."""
         self._shared.processors[f"node-{index}"].frozen = True
 
     def thaw(self, index: int) -> None:
-        """Let a frozen controller go on."""
+        """Resume a frozen controller."""
         self._shared.processors[f"node-{index}"].thaw()
 
     def slow(self, index: int, step_s: float) -> None:
-        """Have each step of a controller's routines take so many seconds; 0: no time."""
+        """Make each step of a controller's routines take `step_s` seconds; 0 ends the slowdown."""
         self._shared.processors[f"node-{index}"].step_s = step_s
 
     def crash(self, index: int) -> None:
-        """End a controller's process at once; nothing if it does not run."""
+        """Kill a controller's process, if it is running."""
         name = f"node-{index}"
         if name not in self._scopes:
             return
@@ -186,10 +186,10 @@
         self._scopes.pop(name).cancel()
         shared.nodes.pop(name, None)
         shared.network.handlers.pop(name, None)
-        # The connections to it are closed at once.
+        # Connections to the crashed controller are closed immediately.
         for node in shared.nodes.values():
             node.peers.connections[name].probe()
 
     def end_twin(self, index: int) -> None:
-        """End the second process that `boot` started under a controller's name."""
+        """Stop the second process that `boot` started for a controller."""
         self._scopes.pop(f"node-{index} too").cancel()
--- a/tests/simulation/deployment.py
+++ b/tests/simulation/deployment.py
@@ -21,26 +21,26 @@
 ]
 
 
-# Changes a second that the store takes.
+# The store's rate limit, in changes per second.
 WRITE_RPS = 30.0
-# The settings that bound a worker's protocol, in seconds.
+# Time limits of the worker protocol, in seconds.
 REPORT_S = 2.0
 LEASE_S = 12.0
 GANG_WAIT_S = 30.0
 GANG_PEER_S = 4.0
-CANCEL_S = 36.0  # where a simulation does not choose its own
+CANCEL_S = 36.0  # default of a simulation
 LIST_LAG_S = 3.0
-# What the store takes some time after an upgrade (the settings' `next`).
+# The store's limits after an upgrade (`next` in the settings).
 NEXT = {"write_rps": 20.0, "value_kb": 2.0, "txn_ops": 4}
 
-# The version in the working tree, beside `production.load()`.
+# The version in the working tree; `production.load()` returns the one in production.
 TODAY = production.Version(
     control=controller_module, http=http, mesh=peer_messages, settings=settings_module
 )
 
 
 def team_limits(grown: bool) -> list[dict[str, Any]]:
-    """The teams with guarantee and limit; grown: ten times as much."""
+    """Return the teams with their guarantees and limits; `grown` multiplies them by ten."""
     factor = 10.0 if grown else 1.0
     return [{k: v if k == "name" else v * factor for k, v in t.items()} for t in TEAMS]  # type: ignore[operator]
 
@@ -54,10 +54,10 @@
     limits: list[dict[str, Any]] | None = None,
     **state: Any,
 ) -> Settings:
-    """The settings of one of `count` controllers, as a version reads them.
+    """Return the settings of one of `count` controllers, as parsed by a version.
 
-    Grown: ten times the teams' limits, and small values in the store.  `state` overrides what the
-    settings say of the store.
+    `grown` uses ten times the teams' limits, and small values in the store.  `state` overrides the
+    store's settings.
     """
     names = [f"node-{i}" for i in range(count)]
     raw = {
@@ -89,12 +89,12 @@
         },
     }
     module = version.settings
-    found: Settings = module.Settings(msgspec.convert(raw, module.Platform), module.Operator())
-    return found
+    parsed: Settings = module.Settings(msgspec.convert(raw, module.Platform), module.Operator())
+    return parsed
 
 
 def job(number: int, **fields: Any) -> dict[str, Any]:
-    """A submission with sensible fields, those given in place of the defaults."""
+    """Return a submission with default fields, overridden by `fields`."""
     return {
         "id": f"job-{number:06d}",
         "docket": "batch",
--- a/tests/simulation/event_loop.py
+++ b/tests/simulation/event_loop.py
@@ -1,4 +1,4 @@
-"""Virtual time: an event loop whose clock jumps to the next timer, and simulated processors."""
+"""An event loop with a virtual clock, and simulated processors."""
 
 import asyncio
 import contextvars
@@ -6,21 +6,21 @@
 from collections.abc import Callable
 from typing import Any
 
-# What the clock shows at the start, in seconds: any moment but zero.
+# Start of the virtual clock, in seconds; any value except zero.
 _START_S = 1000.0
 
 
 class Processor:
-    """What the routines of one controller run on; it may be frozen, or take time for each step."""
+    """The simulated processor of one controller; it can be frozen or slowed down."""
 
     def __init__(self) -> None:
         self.frozen = False
-        self.step_s = 0.0  # how long each step of a routine takes, in seconds
+        self.step_s = 0.0  # duration of each step of a routine, in seconds
         self.busy_until = 0.0
         self.deferred_steps: deque[Callable[[], object]] = deque()
 
     def thaw(self) -> None:
-        """Go on with the steps that became due meanwhile; the clocks ran on."""
+        """Schedule the steps that became due while the processor was frozen."""
         self.frozen = False
         loop = asyncio.get_running_loop()
         deferred, self.deferred_steps = self.deferred_steps, deque()
@@ -28,16 +28,16 @@
             loop.call_soon(step)
 
 
-# Whose routine runs; None for the simulation itself.
+# The processor of the current routine; None for the simulation itself.
 CURRENT_PROCESSOR: contextvars.ContextVar[Processor | None] = contextvars.ContextVar(
     "CURRENT_PROCESSOR", default=None
 )
 
 
 class VirtualTimeEventLoop(asyncio.SelectorEventLoop):
-    """An event loop whose clock jumps to the next timer when nothing is left to run.
+    """An event loop whose clock advances to the next timer when no callback is ready.
 
-    Callbacks scheduled in the context of a `Processor` take turns on it.
+    Callbacks scheduled in the context of a `Processor` run on it one at a time.
     """
 
     def __init__(self) -> None:
@@ -45,20 +45,22 @@
         self._virtual_s = _START_S
 
     def time(self) -> float:
-        """The virtual time in seconds."""
+        """Return the virtual time in seconds."""
         return self._virtual_s
 
     def call_soon(  # type: ignore[override]
         self, callback: Any, *args: Any, context: Any = None
     ) -> Any:
-        """Schedule a callback, on the processor of its context if there is one."""
+        """Schedule a callback, on the processor of its context if any."""
         context = context or contextvars.copy_context()
         if context.get(CURRENT_PROCESSOR) is None:
             return super().call_soon(callback, *args, context=context)
-        # The step looks at its own handle, which is known only after it was scheduled.
-        cell: list[asyncio.Handle] = []
-        cell.append(super().call_soon(self._step, callback, args, context, cell, context=context))
-        return cell[0]
+        # The step checks its own handle, which exists only after scheduling.
+        handle_cell: list[asyncio.Handle] = []
+        handle_cell.append(
+            super().call_soon(self._step, callback, args, context, handle_cell, context=context)
+        )
+        return handle_cell[0]
 
     def call_at(  # type: ignore[override]
         self, when: float, callback: Any, *args: Any, context: Any = None
@@ -67,27 +69,29 @@
         context = context or contextvars.copy_context()
         if context.get(CURRENT_PROCESSOR) is None:
             return super().call_at(when, callback, *args, context=context)
-        cell: list[asyncio.Handle] = []
-        cell.append(
-            super().call_at(when, self._step, callback, args, context, cell, context=context)
+        handle_cell: list[asyncio.Handle] = []
+        handle_cell.append(
+            super().call_at(when, self._step, callback, args, context, handle_cell, context=context)
         )
-        return cell[0]
+        return handle_cell[0]
 
-    def _step(self, callback: Any, args: Any, context: Any, cell: Any, due: bool = False) -> None:
-        """One step of a controller's routine: now, or when its processor comes to it."""
+    def _step(
+        self, callback: Any, args: Any, context: Any, handle_cell: Any, due: bool = False
+    ) -> None:
+        """Run one step of a controller's routine, or defer it until its processor is available."""
         processor = context[CURRENT_PROCESSOR]
-        if cell[0].cancelled():
+        if handle_cell[0].cancelled():
             return
         if processor.frozen:
             processor.deferred_steps.append(
-                lambda: context.run(self._step, callback, args, context, cell, due)
+                lambda: context.run(self._step, callback, args, context, handle_cell, due)
             )
         elif due or not processor.step_s:
             callback(*args)
         else:
             processor.busy_until = max(self._virtual_s, processor.busy_until) + processor.step_s
-            again = (callback, args, context, cell, True)
-            super().call_at(processor.busy_until, self._step, *again, context=context)
+            deferred_args = (callback, args, context, handle_cell, True)
+            super().call_at(processor.busy_until, self._step, *deferred_args, context=context)
 
     def _run_once(self) -> None:
         if not self._ready:  # type: ignore[attr-defined]
@@ -98,5 +102,5 @@
 
 
 def now() -> float:
-    """The virtual time in seconds."""
+    """Return the virtual time in seconds."""
     return asyncio.get_running_loop().time()
--- a/tests/simulation/fault_scenarios.py
+++ b/tests/simulation/fault_scenarios.py
@@ -1,4 +1,4 @@
-"""Users and faults together: how a scenario is run, and how everything must end afterwards."""
+"""Scenarios that run users and faults concurrently, and the checks of the recovery."""
 
 from collections import Counter
 from collections.abc import Awaitable, Callable, Coroutine
@@ -14,24 +14,23 @@
 from simulation.workloads import staggered_job, wait_until_healthy
 
 FaultScenario = Callable[[SimulatedCluster], Coroutine[Any, Any, None]]
-# The deployments' ratio of `cancel_s` to `lease_s`: less than the leases of controller and worker
-# together.
+# Has the deployments' ratio to `lease_s`: less than the sum of the leases of controller and worker.
 CANCEL_S = 32.0
-# Once all faults are over, a job about which nothing is answered for so long is forgotten.
-FORGOTTEN_AFTER_S = 75.0
-# A job may wait so long then while a machine that fits has capacity and its team may use more.
-LEFT_WAITING_S = 90.0
-# How long faults wait for users to have submitted some jobs, in seconds.
-_FIRST_JOBS_S = 10.0
+# Time after the end of all faults within which every job must be found, in seconds.
+FOUND_LIMIT_S = 75.0
+# Time after the end of all faults within which a startable job must start, in seconds.
+LIVENESS_LIMIT_S = 90.0
+# Delay of the faults after the first submission, in seconds.
+_FAULT_DELAY_S = 10.0
 _PERSISTENT_TRIES = 240
-# The run time of tasks that do not end by themselves while a test lasts.
+# Run time of tasks that must outlast the test, in seconds.
 LONG_TASK_S = 500.0
-# At most so many machines hang with the jobs that are cancelled.
-_MOST_HUNG = 8
+# Maximum number of machines that hang when their jobs are cancelled.
+_MAX_HUNG_MACHINES = 8
 
 
 def leader(cluster: SimulatedCluster) -> int:
-    """The controller to which most machines with work report."""
+    """Return the index of the controller that most machines with tasks report to."""
     reporting_controllers = Counter(
         machine.reporting_controller
         for machine, _ in cluster.present()
@@ -43,10 +42,10 @@
 
 
 async def check_recovery(cluster: SimulatedCluster, ids: list[str], seconds: float = 240.0) -> None:
-    """End all cuts, start all controllers, and check that everything recovers.
+    """Heal the network, start all controllers, and check that the cluster recovers.
 
-    Every job is answered for, everything that was not cancelled completes within `seconds`, and
-    nothing is left waiting although it could start.
+    Every job is found, every job that was not cancelled completes within `seconds`, and no
+    startable job is left pending.
     """
     cluster.network.heal()
     ended = now()
@@ -54,17 +53,17 @@
         cluster.boot(index)
     for job_id in ids:
         while job_id not in cluster.accepted or await cluster.poll(job_id) is None:
-            assert now() - ended < FORGOTTEN_AFTER_S, f"nothing is answered about {job_id}"
+            assert now() - ended < FOUND_LIMIT_S, f"no response about {job_id}"
             await anyio.sleep(1.0)
     waiting_since: dict[str, float] = {}
     left = list(ids)
     while left and now() < ended + seconds:
         left = await cluster.until_done(left, 5.0)
         waiting_since = {
-            job_id: waiting_since.get(job_id, now()) for job_id in cluster.left_waiting()
+            job_id: waiting_since.get(job_id, now()) for job_id in cluster.startable_jobs()
         }
-        late = [job_id for job_id, at in waiting_since.items() if now() - at > LEFT_WAITING_S]
-        assert not late, f"left waiting with room for them: {[cluster.specs[i] for i in late]}"
+        starved = [job_id for job_id, at in waiting_since.items() if now() - at > LIVENESS_LIMIT_S]
+        assert not starved, f"startable jobs left pending: {[cluster.specs[i] for i in starved]}"
     assert not left, [(i, cluster.specs[i], await cluster.poll(i)) for i in left]
     for job_id in ids:
         if not cluster.is_cancelled(job_id):
@@ -79,63 +78,69 @@
     cancels: float = 0.3,
     every_s: tuple[float, float] = (0.3, 1.2),
 ) -> None:
-    """Users submit, poll and cancel at intervals `every_s` while all the scenarios run at once.
-
-    At least `jobs` jobs are submitted, and the share `cancels` of the steps cancels one.
+    """Submit, poll and cancel jobs while all scenarios run concurrently, then check the recovery.
+
+    Args:
+        cluster: The cluster, not yet healthy.
+        scenarios: The faults.
+        jobs: Minimum number of jobs that are submitted.
+        make_job: Makes the submission with a given number.
+        cancels: Share of the steps that cancel a job.
+        every_s: Range of the interval between steps, in seconds.
     """
     await wait_until_healthy(cluster)
     ids: list[str] = []
-    over = False
+    faults_over = False
 
-    async def use() -> None:
+    async def run_users() -> None:
         number = 0
-        while number < jobs or not over:
+        while number < jobs or not faults_over:
             if number < jobs or cluster.rng.random() < 0.2:
                 spec = make_job(cluster, number)
                 ids.append(spec["id"])
                 cluster.network.tasks.start_soon(cluster.submit, spec, _PERSISTENT_TRIES)
                 number += 1
             await anyio.sleep(cluster.rng.uniform(*every_s))
-            known = [i for i in ids if i in cluster.accepted]
-            if known and cluster.rng.random() < cancels:
-                chosen = cluster.rng.choice(known[-6:])
-                cluster.network.tasks.start_soon(cluster.cancel, chosen, _PERSISTENT_TRIES)
-            if known:
-                cluster.network.tasks.start_soon(cluster.poll, cluster.rng.choice(known))
+            accepted = [i for i in ids if i in cluster.accepted]
+            if accepted and cluster.rng.random() < cancels:
+                to_cancel = cluster.rng.choice(accepted[-6:])
+                cluster.network.tasks.start_soon(cluster.cancel, to_cancel, _PERSISTENT_TRIES)
+            if accepted:
+                cluster.network.tasks.start_soon(cluster.poll, cluster.rng.choice(accepted))
 
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(use)
-        await anyio.sleep(_FIRST_JOBS_S)
+        tasks.start_soon(run_users)
+        await anyio.sleep(_FAULT_DELAY_S)
         async with anyio.create_task_group() as faults:
             for scenario in scenarios:
                 faults.start_soon(scenario, cluster)
-        over = True
+        faults_over = True
     await check_recovery(cluster, ids)
 
 
 def run_and_expect(
     cluster: SimulatedCluster, main: Callable[[], Awaitable[None]], *observations: str
 ) -> None:
-    """Run a test's main routine; no rule may break, and each of these must have been observed."""
+    """Run a test's main routine; check for no violation and that all observations occurred."""
     run(cluster, main)
     assert cluster.violations == [], cluster.violations[:3]
     missing = [name for name in observations if not cluster.observed[name]]
-    assert not missing, f"not brought about: {missing}, of {dict(cluster.observed)}"
+    assert not missing, f"not observed: {missing}; observed: {dict(cluster.observed)}"
 
 
-async def wait_until(holds: Callable[[], bool], seconds: float, step_s: float = 0.01) -> None:
-    """Wait until a condition holds.
+async def wait_until(condition: Callable[[], bool], seconds: float, step_s: float = 0.01) -> None:
+    """Wait until a condition condition.
 
     Raises:
-        TimeoutError: it does not within so many seconds.
+        TimeoutError: The condition does not hold within `seconds`.
     """
     with anyio.fail_after(seconds):
-        while not holds():
+        while not condition():
             await anyio.sleep(step_s)
 
 
 def running_tasks(cluster: SimulatedCluster, *ids: str) -> list[tuple[Machine, str]]:
-    """The machines and names of tasks that run, of these jobs or of all."""
+    """Return the machine and name of each running task, of the given jobs or of all."""
     return [
         (machine, task.name)
         for machine, task in cluster.present()
@@ -146,17 +151,17 @@
 async def cancel_running_jobs(
     cluster: SimulatedCluster, count: int, hang_s: float = 0.0, node: int | None = None
 ) -> int:
-    """Users cancel up to `count` running jobs within a fifth of a second; how many.
+    """Cancel up to `count` running jobs within 0.2 seconds, and return their number.
 
-    With `hang_s` their machines hang for so many seconds.
+    Their machines hang for `hang_s` seconds.
     """
-    found = running_tasks(cluster)
-    jobs = list(dict.fromkeys(name.partition("/")[0] for _, name in found))
+    tasks = running_tasks(cluster)
+    jobs = list(dict.fromkeys(name.partition("/")[0] for _, name in tasks))
     jobs = [job_id for job_id in jobs if job_id not in cluster.cancelled_at]
-    chosen = cluster.rng.sample(jobs, min(count, len(jobs)))
+    to_cancel = cluster.rng.sample(jobs, min(count, len(jobs)))
     if hang_s:
-        hosts = {m.name: m for m, name in found if name.partition("/")[0] in chosen}
-        for machine in list(hosts.values())[:_MOST_HUNG]:
+        hosts = {m.name: m for m, name in tasks if name.partition("/")[0] in to_cancel}
+        for machine in list(hosts.values())[:_MAX_HUNG_MACHINES]:
             machine.hung_until = now() + hang_s
             cluster.observed["hung with cancelled work"] += 1
 
@@ -164,14 +169,14 @@
         await anyio.sleep(cluster.rng.uniform(0.0, 0.2))
         await cluster.cancel(job_id, _PERSISTENT_TRIES, node)
 
-    for job_id in chosen:
+    for job_id in to_cancel:
         cluster.network.tasks.start_soon(cancel, job_id)
-    cluster.observed["cancelled while it ran"] += len(chosen)
-    return len(chosen)
+    cluster.observed["cancelled while it ran"] += len(to_cancel)
+    return len(to_cancel)
 
 
 async def run_long_jobs(cluster: SimulatedCluster, jobs: int, **fields: Any) -> list[str]:
-    """Submit jobs of all kinds with tasks of `LONG_TASK_S`, and wait until all tasks run; the ids."""
+    """Submit jobs of all kinds with long tasks, wait until all tasks run, and return the ids."""
     kinds: list[dict[str, Any]] = [
         {"entries": 2},
         {"entries": 1, "bureau": "blue"},
@@ -193,29 +198,28 @@
 
 
 async def cancel_all_and_recover(cluster: SimulatedCluster, ids: list[str]) -> None:
-    """End all faults, cancel these jobs, and check that everything recovers and nothing runs."""
+    """End all faults, cancel the jobs, and check the recovery and that no task runs."""
     cluster.network.heal()
     cluster.store.outage(False)
     cluster.store.refused_sources = set()
     for index in range(cluster.count):
         cluster.boot(index)
-    with anyio.fail_after(FORGOTTEN_AFTER_S):
+    with anyio.fail_after(FOUND_LIMIT_S):
         for job_id in ids:
             while await cluster.poll(job_id) is None:
                 await anyio.sleep(0.5)
     for job_id in ids:
         assert await cluster.cancel(job_id, 60) == "cancelled"
     await check_recovery(cluster, ids)
-    # A machine that cannot be commanded directly just then learns of it with its next heartbeat,
-    # long before `cancel_s` has passed.
+    # A machine that misses the direct command gets it with the response to its next heartbeat.
     await wait_until(lambda: not running_tasks(cluster), 2 * REPORT_S)
 
 
 __all__ = [
     "CANCEL_S",
-    "FORGOTTEN_AFTER_S",
+    "FOUND_LIMIT_S",
     "LEASE_S",
-    "LEFT_WAITING_S",
+    "LIVENESS_LIMIT_S",
     "LONG_TASK_S",
     "FaultScenario",
     "cancel_all_and_recover",
--- a/tests/simulation/leases.py
+++ b/tests/simulation/leases.py
@@ -7,7 +7,7 @@
 
 
 class Leases:
-    """Leases by id, each with its expiry and its time to live in seconds."""
+    """Leases by id, each with its expiry and its time to live, in seconds."""
 
     def __init__(self) -> None:
         self._leases: dict[int, tuple[float, float]] = {}
@@ -17,13 +17,13 @@
         return lease in self._leases
 
     def grant(self, ttl_s: float) -> int:
-        """Grant a lease; its id."""
+        """Grant a lease and return its id."""
         lease = next(self._ids)
         self._leases[lease] = now() + ttl_s, ttl_s
         return lease
 
     def renew(self, lease: int) -> bool:
-        """Give a lease its full time again; False if it has ended."""
+        """Renew a lease for its full time to live; return False if it has expired."""
         if lease not in self._leases:
             return False
         _, ttl_s = self._leases[lease]
@@ -31,11 +31,11 @@
         return True
 
     def renew_all(self) -> None:
-        """Give all leases their full time again, as after an outage."""
+        """Renew all leases for their full time to live, as after an outage."""
         self._leases = {lease: (now() + ttl_s, ttl_s) for lease, (_, ttl_s) in self._leases.items()}
 
     def expire(self) -> Iterator[int]:
-        """End the leases that are due, one after another."""
+        """Remove the expired leases and yield their ids."""
         for lease in [lease for lease, (expiry, _) in self._leases.items() if expiry < now()]:
             del self._leases[lease]
             yield lease
--- a/tests/simulation/machines.py
+++ b/tests/simulation/machines.py
@@ -1,4 +1,4 @@
-"""Machines and the tasks on them, as they really are: what the rules are checked against."""
+"""The actual state of machines and their tasks, which the rules are checked against."""
 
 from typing import Any, Literal
 
@@ -10,7 +10,7 @@
 TaskState = Literal["fetching", "waiting", "running", "flushing", "exited"]
 MachineState = Literal["starting", "running", "failed", "deleted"]
 
-# How long the fetch of an image takes for each GB, in seconds.
+# Time to fetch an image, in seconds per GB.
 _FETCH_S_PER_GB = 0.5
 
 
@@ -21,16 +21,16 @@
         self.spec = spec  # the submission of its job
         self.name, self.attempt = name, attempt
         self.state: TaskState = "fetching"
-        self.cause, self.saved = "", False  # of its exit
-        # When its image is there; once it runs, when its run began.
+        self.cause, self.saved = "", False  # of the exit
+        # Time when the image is fetched; of a started task, when it began to wait or run.
         self.ready_at = now() + _FETCH_S_PER_GB * spec["image_gb"]
-        self.left_s = left_s  # run time that is left
-        self.flushed_at = 0.0  # when its checkpoint is saved
-        self.waits_since = 0.0  # since when it waits for its gang
+        self.left_s = left_s  # remaining run time, in seconds
+        self.flushed_at = 0.0  # time when its checkpoint is saved
+        self.waits_since = 0.0  # time when it began to wait for its gang
 
     @property
     def on_machine(self) -> bool:
-        """Whether it is on its machine in the sense of the rules."""
+        """Whether the rules count the task as being on its machine."""
         return self.state in ("waiting", "running", "flushing")
 
 
@@ -46,25 +46,27 @@
         self.epoch, self.sequence, self.fencing_token = 1, 0, 0
         self.tasks: dict[str, Task] = {}  # by name and attempt
         self.lease_started_at = 0.0
-        self.reporting_controller = 0  # the index of the controller that it reports to
-        self.changed = anyio.Event()  # set by what is reported at once
+        self.reporting_controller = 0  # index of the controller that receives its heartbeats
+        self.changed = anyio.Event()  # set by changes that are reported immediately
         # Faults.
-        self.hung_until = 0.0  # until then it neither runs tasks nor communicates
+        self.hung_until = 0.0  # until then the machine neither runs tasks nor communicates
         # Until then its heartbeats arrive, while responses and direct commands are lost.
         self.responses_lost_until = 0.0
         # Until then its heartbeats are lost, while direct commands arrive.
         self.heartbeats_lost_until = 0.0
-        self.faulty = False  # every task fails on it
-        self.notice_until: float | None = None  # when the cloud takes it away, if it gave notice
+        self.faulty = False  # every task that starts on the machine fails
+        self.notice_until: float | None = (
+            None  # when the cloud reclaims the machine, after a spot notice
+        )
 
     def free(self) -> tuple[float, ...]:
-        """CPUs, GPUs and GB of memory that no live task takes."""
+        """Return the free CPUs, GPUs and GB of memory."""
         kind = MACHINE_TYPES[self.kind]
         live = [t.spec for t in self.tasks.values() if t.state != "exited"]
         return tuple(kind[k] - sum(s[k] for s in live) for k in ("vcpus", "gpus", "ram_gb"))
 
     def heartbeat(self) -> dict[str, Any]:
-        """The next heartbeat with the status of all tasks, as it is sent."""
+        """Return the next heartbeat, with the status of all tasks, as it is sent."""
         self.sequence += 1
         entries = []
         for task in self.tasks.values():
--- a/tests/simulation/network.py
+++ b/tests/simulation/network.py
@@ -1,4 +1,4 @@
-"""The simulated network: requests with delays, cuts that drop messages or hold them back."""
+"""The simulated network, with delays and with cuts that drop or hold messages."""
 
 import contextvars
 from collections import Counter
@@ -16,27 +16,27 @@
 CutMode = Literal["drop", "hold"]
 Handler = Callable[[str, Request], Awaitable[Response]]
 
-# The shortest time that a message takes, in seconds.
-_LEAST_DELAY_S = 0.0005
-# How often a message that is held back looks whether the network is whole again, in seconds.
-_HELD_CHECK_S = 0.5
+# Minimum delay of a message, in seconds.
+_MIN_DELAY_S = 0.0005
+# Interval at which a held message checks whether the cut has been healed, in seconds.
+_HELD_MESSAGE_CHECK_INTERVAL_S = 0.5
 
 
 class Network:
-    """Carries requests between hosts by name; one random delay each way."""
+    """Carries requests between named hosts, with a random delay in each direction."""
 
     def __init__(self, rng: Random, observed: Counter[str]) -> None:
         self.rng = rng
         self.handlers: dict[str, Handler] = {}
         self.cuts: dict[frozenset[str], CutMode] = {}
-        self.one_way: dict[tuple[str, str], CutMode] = {}  # from the first to the second host
+        self.one_way: dict[tuple[str, str], CutMode] = {}  # cuts from the first to the second host
         self.refused: set[frozenset[str]] = set()  # pairs of controllers that refuse connections
         # Called before and after each request is handled: (when, source, target, request).
         self.on_request: Callable[[str, str, str, Request], None] | None = None
         # Called with the commands that a controller sends directly to a worker.
         self.on_commands: Callable[[list[dict[str, Any]]], None] | None = None
         self.tasks: Any = None  # the task group of the simulation
-        self.delay_s = 0.01  # how long a message takes at most, in seconds
+        self.delay_s = 0.01  # maximum delay of a message, in seconds
         self._observed = observed
 
     def cut(self, one: str, other: str, mode: CutMode) -> None:
@@ -44,17 +44,17 @@
         self.cuts[frozenset((one, other))] = mode
 
     def heal(self) -> None:
-        """End all cuts; what was held back is delivered."""
+        """End all cuts; held messages are delivered."""
         self.cuts.clear()
         self.one_way.clear()
         self.refused.clear()
 
     def between(self, source: str, target: str) -> CutMode | None:
-        """What happens to messages from one host to another now, if they are cut off."""
+        """Return the mode of the cut from one host to another, or None if there is no cut."""
         return self.one_way.get((source, target)) or self.cuts.get(frozenset((source, target)))
 
     def start(self, routine: Callable[[], Awaitable[object]]) -> None:
-        """Start a routine of the simulation itself, outside any controller's processor."""
+        """Start a routine of the simulation, outside any controller's processor."""
         context = contextvars.copy_context()
         context.run(CURRENT_PROCESSOR.set, None)
         context.run(self.tasks.start_soon, routine)
@@ -62,10 +62,10 @@
     async def call(self, source: str, target: str, request: Request, timeout: float) -> Response:
         """Send a request and wait up to `timeout` seconds for its response.
 
-        The request may be handled although its sender has given up or was cancelled.
+        The request may be handled even if its sender timed out or was cancelled.
 
         Raises:
-            HttpError: no response in time.
+            HttpError: No response arrives in time.
         """
         responses: list[Response] = []
         arrived = anyio.Event()
@@ -75,7 +75,7 @@
             response = await self._deliver(source, target, request, timeout)
             if response is None:
                 return
-            await anyio.sleep(self.rng.uniform(_LEAST_DELAY_S, self.delay_s))
+            await anyio.sleep(self.rng.uniform(_MIN_DELAY_S, self.delay_s))
             if self.between(target, source) is None:
                 responses.append(response)
                 arrived.set()
@@ -84,19 +84,19 @@
         with anyio.move_on_after(timeout):
             await arrived.wait()
         if not responses:
-            raise HttpError("no answer")
+            raise HttpError("no response within the timeout")
         return responses[0]
 
     async def _deliver(
         self, source: str, target: str, request: Request, timeout: float
     ) -> Response | None:
-        """Carry a request to its target and have it handled; None if it is lost."""
-        await anyio.sleep(self.rng.uniform(_LEAST_DELAY_S, self.delay_s))
+        """Deliver a request and return the response, or None if it is lost."""
+        await anyio.sleep(self.rng.uniform(_MIN_DELAY_S, self.delay_s))
         sent = now()
         while (mode := self.between(source, target)) is not None:
             if mode == "drop":
                 return None
-            await anyio.sleep(_HELD_CHECK_S)
+            await anyio.sleep(_HELD_MESSAGE_CHECK_INTERVAL_S)
         if request.path == "/do" and now() - sent > timeout:
             self._observed["late command"] += 1
         if self.on_request is not None:
@@ -113,20 +113,20 @@
 
 
 class SimulatedHttpClient:
-    """Stands in for a controller's `HttpClient`."""
+    """Replaces a controller's `HttpClient`."""
 
     def __init__(self, network: Network, source: str, host: str, failure: type[Exception]) -> None:
         self._network, self._source, self._host = network, source, host
-        # The error class of the controller's own version.
+        # The error class of the controller's version.
         self._failure = failure
 
     async def request(
         self, method: str, target: str, body: bytes = b"", *, timeout: float
     ) -> Response:
-        """Send one request.
+        """Send a request.
 
         Raises:
-            HttpError: no response within `timeout` seconds; the class of the controller's version.
+            HttpError: No response arrives within `timeout` seconds.
         """
         request = Request(method, target, body)
         if target == "/do" and self._network.on_commands is not None:
@@ -137,4 +137,4 @@
             raise self._failure(str(error)) from None
 
     async def aclose(self) -> None:
-        """Nothing is kept open."""
+        """Do nothing; there are no connections."""
--- a/tests/simulation/peer_connection.py
+++ b/tests/simulation/peer_connection.py
@@ -8,14 +8,14 @@
 from simulation.shared_state import SharedState
 from simulation.tracing import TRACE
 
-# How long a message takes, in seconds.
+# Range of the delay of a message, in seconds.
 _DELAY_S = (0.001, 0.01)
 
 
 class SimulatedPeerConnection:
-    """Stands in for `peer_transport.PeerConnection`.
+    """Replaces `peer_transport.PeerConnection`.
 
-    Messages are encoded and decoded by the versions at both ends.
+    Each end encodes and decodes messages with its own version.
     """
 
     def __init__(self, shared: SharedState, source: str, target: str, transport: Any) -> None:
@@ -23,34 +23,34 @@
         self._transport = transport
         self.refused = False
         self._queue: list[Any] = []  # messages since the last attempt to connect
-        # What the controller notes of its peer.
+        # Status of the peer, set by the controller.
         self.heard_at = float("-inf")
-        self.store_reachable = self.state_ok = False  # the version in production: `state_ok`
+        self.store_reachable = self.state_ok = False  # production version: `state_ok`
         self.demand = 0
-        self.schema_version = self.form = 1  # the version in production: `form`
+        self.schema_version = self.form = 1  # production version: `form`
 
     def probe(self) -> None:
-        """Notice whether the peer accepts connections, as a connection does."""
+        """Update whether the peer refuses connections."""
         pair = frozenset((self._source, self._target))
         refused = self._target not in self._shared.nodes or pair in self._shared.network.refused
         if refused != self.refused:
             self.refused = refused
             peers = self._shared.nodes[self._source].peers
-            # Not every version in production is notified: it looks at the connection itself.
+            # Versions without `connection_changed` read `refused` instead.
             if hasattr(peers, "connection_changed"):
                 peers.connection_changed(self._target, refused)
-        # As the real connection: what was queued since the last attempt is sent once it is open.
+        # Like the real connection, sends the messages queued since the last attempt to connect.
         queue, self._queue = self._queue, []
         for message in [] if refused else queue:
             self.send(message)
 
     def flush(self) -> None:
-        """Send a heartbeat now."""
+        """Send a heartbeat immediately."""
         heartbeat = self._shared.nodes[self._source].peers.heartbeat()
         if heartbeat is not None:
             self.send(heartbeat)
 
-    nudge = flush  # as the version in production calls it
+    nudge = flush  # name in the production version
 
     def send(self, message: Any) -> None:
         """Send a message; it may be lost."""
@@ -69,7 +69,7 @@
         self._shared.network.start(carry)
 
     def _arrive(self, body: bytes) -> None:
-        """Hand a message to the peer, unless it ended or is cut off."""
+        """Deliver a message to the peer unless it has crashed or is cut off."""
         node = self._shared.nodes.get(self._target)
         if node is None or self._shared.network.between(self._source, self._target) is not None:
             return
--- a/tests/simulation/rules.py
+++ b/tests/simulation/rules.py
@@ -1,9 +1,9 @@
-"""The rules that are checked, each by a function of its own with the rule in its docstring.
+"""The rules of the protocol; each is checked by a function whose docstring states its violation.
 
-The rules that a whole run must keep are those of the protocol's page ("Rules").  Two of them are
-checked elsewhere: `forgotten` and part of `went_back` by `AnswerHistory`, `nothing_ran` by the
-tests, which count the starts.  `too_early`, `orphaned`, `started_cancelled`, `accepted_bad` and
-`mixed_up` are consequences of the protocol beyond that list.
+The rules are those of the protocol's page ("Rules").  Two are checked elsewhere: `forgotten` and
+part of `went_back` by `AnswerHistory`, `nothing_ran` by the tests, which count the starts.
+`too_early`, `orphaned`, `started_cancelled`, `accepted_bad` and `mixed_up` are not in that list, but
+follow from the protocol.
 """
 
 from collections import Counter
@@ -15,22 +15,22 @@
 from simulation.machines import Machine, Task
 from simulation.shared_state import SharedState
 
-# Where the store keeps the records of jobs.
+# Prefix of the keys of job records in the store.
 _JOB_PREFIX = "s/j/"
 
 
 def check_machines(shared: SharedState) -> None:
-    """Check the rules about everything that is on a machine."""
+    """Check the rules about the tasks on all machines."""
     tasks = [task for _, task in shared.present()]
-    check_cancelled_work_is_gone(shared, tasks)
+    check_cancelled_tasks_are_stopped(shared, tasks)
     check_quota(shared, tasks)
 
 
-def check_cancelled_work_is_gone(shared: SharedState, tasks: list[Task]) -> None:
+def check_cancelled_tasks_are_stopped(shared: SharedState, tasks: list[Task]) -> None:
     """Rule `ran_cancelled`.
 
-    A task is on a machine, or starts, more than `cancel_s` after its user was told that the job
-    is cancelled.  The same holds for jobs that depend on a cancelled one.
+    A task is on a machine more than `cancel_s` after a response to a user reported its job, or a
+    job that its job depends on, as cancelled.
     """
     for task in tasks:
         job_id = task.spec["id"]
@@ -54,14 +54,14 @@
 
 
 def check_task_start(shared: SharedState, machine: Machine, task: Task) -> None:
-    """Check the rules about a task that is about to start on a machine."""
+    """Check the rules about the start of a task on a machine."""
     check_runs_once(shared, machine, task)
     check_dependencies_are_done(shared, task)
     check_place(shared, machine, task)
 
 
 def check_runs_once(shared: SharedState, machine: Machine, task: Task) -> None:
-    """Rule `ran_twice`: a task starts on one machine while it is on another."""
+    """Rule `ran_twice`: a task starts on a machine while it is on another."""
     for other, there in shared.present():
         if there.name == task.name and there is not task:
             detail = f"{task.name} on {machine.name} and {other.name}"
@@ -69,7 +69,7 @@
 
 
 def check_dependencies_are_done(shared: SharedState, task: Task) -> None:
-    """Rule `too_early`: a task starts before a job that its job depends on is done."""
+    """Rule `too_early`: a task starts before a dependency of its job is done."""
     for name in task.spec.get("awaits") or ():
         if not shared.is_done(name):
             shared.record_violation("too_early", f"{task.name} before {name}")
@@ -78,8 +78,8 @@
 def check_place(shared: SharedState, machine: Machine, task: Task) -> None:
     """Rule `wrong_place`.
 
-    A task starts on a type, in a zone or on a kind of machine that its job does not allow, given
-    the other tasks of the job at that moment.
+    A task starts on a machine whose type, zone or spot status violates the constraints of its job,
+    given the job's other tasks at that time.
     """
     spec = task.spec
     others = [
@@ -99,15 +99,14 @@
 
 
 def started_attempts(record: Any) -> int:
-    """How often tasks of a job were started, by its stored record: each start takes an attempt."""
+    """Return the number of started attempts in a job's stored record."""
     return int(record["n"]) if isinstance(record, dict) else 0
 
 
 def check_committed_starts(shared: SharedState, key: str, before: Any, after: Any) -> None:
     """Rule `started_cancelled`.
 
-    From the answer that a job is cancelled on no task of the job may be started: no commit to the
-    store starts one.
+    A transaction starts a task of a job that a response has reported as cancelled.
     """
     if not key.startswith(f"{_JOB_PREFIX}job-"):
         return
@@ -127,7 +126,7 @@
 
 
 def check_submitted(shared: SharedState, job_id: str) -> bool:
-    """Rule `invented`: a job that nobody submitted gets 200.  Whether the rule is kept."""
+    """Rule `invented`: a job that was never submitted gets 200.  Return whether the rule holds."""
     if job_id in shared.specs:
         return True
     shared.record_violation("invented", job_id)
@@ -135,26 +134,26 @@
 
 
 def check_answered_job(shared: SharedState, job_id: str, answered: str) -> None:
-    """Rule `mixed_up`: an answer is about another job than the one that was asked for."""
+    """Rule `mixed_up`: a response is about another job than the requested one."""
     if answered != job_id:
-        detail = f"{job_id} was asked for, {answered} answered"
+        detail = f"{job_id} was requested, {answered} returned"
         shared.record_violation("mixed_up", detail)
 
 
 def check_cancelled_by_user(shared: SharedState, job_id: str) -> None:
-    """Rule `went_back`: a job that its user did not cancel is called cancelled."""
+    """Rule `went_back`: a job that its user did not cancel is reported as cancelled."""
     if not shared.is_cancelled(job_id):
         shared.record_violation("went_back", f"{job_id} was not cancelled by its user")
 
 
 def check_done(shared: SharedState, job_id: str) -> None:
-    """Rule `not_done`: a job is called done before all its tasks are."""
+    """Rule `not_done`: a job is reported as done before all its tasks are."""
     if not shared.is_done(job_id):
         shared.record_violation("not_done", job_id)
 
 
 def check_dependents_are_cancelled(shared: SharedState, job_id: str, asked: float) -> None:
-    """Rule `orphaned`: a job is called live over `cancel_s` after one that it depends on ended."""
+    """Rule `orphaned`: a job is live over `cancel_s` after its dependency was cancelled."""
     for name in shared.needed(job_id):
         if asked - shared.cancelled_at.get(name, asked) > shared.cancel_s:
             shared.record_violation("orphaned", f"{job_id} after {name}")
--- a/tests/simulation/shared_state.py
+++ b/tests/simulation/shared_state.py
@@ -1,4 +1,4 @@
-"""What all parts of a simulation share: randomness, the truth about jobs, faults and findings."""
+"""State shared by all parts of a simulation: random generator, jobs, faults, observations."""
 
 from abc import ABC, abstractmethod
 from collections import Counter
@@ -12,12 +12,12 @@
 from simulation.machines import Machine, Task
 from simulation.network import Network
 
-# How much longer than its owner's estimate a task runs.
+# Ratio of a task's run time to the estimate in its submission.
 _RUN_FACTOR = 1.2
 
 
 class KeptHeartbeat(NamedTuple):
-    """A copy of a heartbeat, to be delivered to every controller later."""
+    """A copy of a heartbeat that is delivered to every controller later."""
 
     machine: Machine
     epoch: int  # of the machine when it was sent
@@ -25,90 +25,90 @@
 
 
 class SharedState(ABC):
-    """The state that the parts of a simulation share, and what they ask of the whole.
+    """The state shared by the parts of a simulation, and the interface of the whole.
 
-    The sets and maps about jobs are the truth that the rules are checked against; no controller
-    sees them.  Everything random is drawn from `rng`, in the order of the events.
+    The rules are checked against the sets and maps of jobs, which no controller reads.  All random
+    values are drawn from `rng`, in the order of the events.
     """
 
     def __init__(self, seed: int, count: int, cancel_s: float, teams: list[dict[str, Any]]) -> None:
         self.rng = Random(seed)
-        self.count = count  # controllers
+        self.count = count  # number of controllers
         self.cancel_s = cancel_s
         self.teams = teams
-        self.nodes: dict[str, Any] = {}  # the controllers that run, of whichever version
+        self.nodes: dict[str, Any] = {}  # the running controllers, of either version
         self.processors: dict[str, Processor] = {}
-        self.machines: dict[str, Machine] = {}  # all that were ever rented
-        # Findings: broken rules, and which faults really occurred.
+        self.machines: dict[str, Machine] = {}  # all machines ever rented
+        # Violated rules, and the number of times that each fault occurred.
         self.violations: list[str] = []
         self.observed: Counter[str] = Counter()
         # Jobs.
         self.specs: dict[str, dict[str, Any]] = {}  # submissions
         self.accepted: set[str] = set()
-        # When a user was first answered that a job is cancelled; infinite once a user has asked.
+        # Time of the first response that a job is cancelled; infinite from the request until then.
         self.cancelled_at: dict[str, float] = {}
         self.answers = AnswerHistory(self.record_violation)
         # Tasks, by name.
         self.done: set[str] = set()
-        self.saved: dict[str, float] = {}  # run time that is safe in a checkpoint, in seconds
+        self.saved: dict[str, float] = {}  # run time covered by checkpoints, in seconds
         self.starts: Counter[str] = Counter()
-        self.failed_starts = 0  # on a faulty machine, or of a job that fails everywhere
+        self.failed_starts = 0  # on a faulty machine, or of a job that always fails
         self.expired_leases = 0
-        # Faults that no single part owns, as shares of what they may strike.
-        self.concurrent_read_share = 0.0  # jobs that users read at all controllers at once
-        self.cancel_at_end_share = 0.0  # jobs that are cancelled as their last task ends
-        self.kept_heartbeat_share = 0.0  # heartbeats of which a copy is kept for a later replay
+        # Faults of several parts, as shares of the affected objects.
+        self.concurrent_read_share = 0.0  # jobs that users read at all controllers concurrently
+        self.cancel_at_end_share = 0.0  # jobs that are cancelled when their last task ends
+        self.kept_heartbeat_share = 0.0  # heartbeats that are copied for a later replay
         self.kept_heartbeats: list[KeptHeartbeat] = []
-        self.duplicated_heartbeat_share = 0.0  # heartbeats of which a copy arrives again
-        # Called with each message between controllers: source, target, message.
+        self.duplicated_heartbeat_share = 0.0  # heartbeats that are delivered twice
+        # Called with each message between controllers: (source, target, message).
         self.on_peer_message: Callable[[str, str, Any], None] | None = None
         self.network = Network(self.rng, self.observed)
 
     @abstractmethod
     def check(self) -> None:
-        """Check the rules about everything that is on a machine."""
+        """Check the rules about the tasks on all machines."""
 
     @abstractmethod
     async def ask(
         self, method: str, path: str, body: Any = None, node: int | None = None
     ) -> Response:
-        """Send one request of a user to a controller; status 0 without a response in time."""
+        """Send a user's request to a controller; the status is 0 after a timeout."""
 
     @abstractmethod
     def job_finished(self, job_id: str) -> None:
-        """The last task of a job has ended on its machine."""
+        """Handle the end of a job's last task on its machine."""
 
     def record_violation(self, rule: str, detail: str) -> None:
-        """Note that a rule was broken."""
+        """Record the violation of a rule."""
         self.violations.append(f"{now():.2f} {rule}: {detail}")
 
     def needed(self, job_id: str) -> set[str]:
-        """The jobs that a job depends on, directly or through others."""
-        found: set[str] = set()
+        """Return the direct and transitive dependencies of a job."""
+        dependencies: set[str] = set()
         stack = [job_id]
         while stack:
             for name in self.specs.get(stack.pop(), {}).get("awaits") or ():
-                if name not in found:
-                    found.add(name)
+                if name not in dependencies:
+                    dependencies.add(name)
                     stack.append(name)
-        return found
+        return dependencies
 
     def is_cancelled(self, job_id: str) -> bool:
-        """Whether a user has asked to cancel a job or one that it depends on."""
+        """Return whether a user has requested to cancel a job or one of its dependencies."""
         return bool(self.cancelled_at.keys() & {job_id, *self.needed(job_id)})
 
     def is_done(self, job_id: str) -> bool:
-        """Whether all tasks of a job have completed."""
+        """Return whether all tasks of a job have completed."""
         tasks = range(self.specs[job_id]["entries"])
         return all(f"{job_id}/{task}" in self.done for task in tasks)
 
     def run_s(self, spec: dict[str, Any], task: str = "/0") -> float:
-        """How long a task runs, in seconds; with `far_s` each so much longer than the last."""
+        """Return the run time of a task, in seconds; `far_s` is added for each preceding task."""
         number = int(task.partition("/")[2])
         return float(spec["expect_s"] * _RUN_FACTOR + spec.get("far_s", 0.0) * number)
 
     def present(self) -> list[tuple[Machine, Task]]:
-        """The tasks that are on a machine in the sense of the rules."""
+        """Return the tasks that the rules count as being on a machine, each with its machine."""
         return [
             (machine, task)
             for machine in self.machines.values()
@@ -118,7 +118,7 @@
         ]
 
     def gang_members(self, task: Task) -> list[Task]:
-        """The tasks of the same job and attempt that are on a machine, this one among them."""
+        """Return the tasks of the same job and attempt on machines, including this one."""
         prefix = task.name.partition("/")[0] + "/"
         return [
             other
--- a/tests/simulation/store.py
+++ b/tests/simulation/store.py
@@ -1,4 +1,4 @@
-"""The simulated state service: a consensus-backed key-value store with leases and a watch."""
+"""The simulated key-value store, with compare-and-swap transactions, leases and a watch."""
 
 import functools
 import json
@@ -18,37 +18,37 @@
 from simulation.leases import Leases
 from simulation.shared_state import SharedState
 
-# How many changes the watch remembers.
+# Number of changes that the watch retains.
 _LOG_LENGTH = 500
 _NEVER_S = 1e6
-# How late a transaction without a response is applied, in seconds.
+# Range of the delay until a transaction without a response is applied, in seconds.
 _LATE_COMMIT_S = (2.0, 12.0)
-# A while after a response was lost, in seconds: others have read what was written.
+# Time after a lost response until the other controllers have read the change, in seconds.
 _READ_BY_OTHERS_S = 0.8
-_LARGEST_CONDITIONS = 4  # times as many conditions as changes
+_MAX_CONDITIONS_PER_TXN_OP = 4
 
 # A status and the body of a response.
-Answer = tuple[int, dict[str, Any]]
+StatusAndBody = tuple[int, dict[str, Any]]
 
 
 @dataclass
 class UnansweredCommits:
-    """The fault that transactions get no response, and are applied at once or much later."""
+    """The fault that transactions get no response, and are applied immediately or late."""
 
-    share: float = 0.0  # of the transactions that are selected
-    selects: Callable[[Any], bool] = bool  # by the changes of a transaction
-    certain: int = 0  # so many of the selected ones first, whatever the share
-    at_once: bool = False  # applied at once, only the response is lost
-    on_lost: Callable[[str], None] | None = None  # called at once with the writer
+    share: float = 0.0  # of the selected transactions
+    selects: Callable[[Any], bool] = bool  # predicate on the changes of a transaction
+    certain: int = 0  # the first N selected ones, regardless of the share
+    at_once: bool = False  # applied immediately, only the response is lost
+    on_lost: Callable[[str], None] | None = None  # called with the writer after a loss
 
 
 class Store:
-    """The state service."""
+    """The key-value store."""
 
     def __init__(self, shared: SharedState) -> None:
         self._shared = shared
         self.revision = 0
-        # By key: value, revision of its last change, lease.
+        # By key: value, revision of the last change, lease.
         self.items: dict[str, tuple[Any, int, int | None]] = {}
         self._log: deque[tuple[int, str, Any]] = deque(maxlen=_LOG_LENGTH)
         self._leases = Leases()
@@ -60,30 +60,30 @@
         self.refused_sources: set[str] = set()  # controllers that get 503
         self.commit_response_delay_s: dict[
             str, float
-        ] = {}  # by controller: how late transactions are answered
-        self.mean_delay_s = 0.0  # mean time that each request takes, in seconds
+        ] = {}  # delay of the responses to transactions, by controller
+        self.mean_delay_s = 0.0  # mean delay of a request, in seconds
         self.unanswered = UnansweredCommits()
-        # What was observed.
-        self.history: list[tuple[float, str, Any]] = []  # all changes: when, key, value
-        self.writes: Counter[str] = Counter()  # by the beginning of the key
-        self.largest = 0  # bytes of the largest value
-        self.rate_limited = 0  # requests refused for the rate
-        self.too_large = 0  # transactions refused for their size
+        # Observations.
+        self.history: list[tuple[float, str, Any]] = []  # all changes: time, key, value
+        self.writes: Counter[str] = Counter()  # number of writes by key prefix
+        self.largest = 0  # size of the largest value, in bytes
+        self.rate_limited = 0  # transactions refused by the rate limit
+        self.too_large = 0  # transactions refused by a size limit
 
     def outage(self, down: bool) -> None:
-        """Begin or end an outage; after it all leases have their full time again."""
+        """Begin or end an outage; its end renews all leases."""
         self.down = down
         if not down:
             self._leases.renew_all()
 
     def apply_next_limits(self) -> None:
-        """The limits that the settings announce as `next` begin."""
+        """Apply the limits that the settings announce as `next`."""
         self.txn_ops = int(NEXT["txn_ops"])
         self.value_bytes = NEXT["value_kb"] * 1024
         self.write_rps = NEXT["write_rps"]
 
     async def handle(self, source: str, request: Request) -> Response:
-        """Handle one request; a cancelled request may have been carried out."""
+        """Handle a request; a cancelled request may have been executed."""
         if self.down or source in self.refused_sources:
             return Response(503)
         if self.mean_delay_s:
@@ -92,8 +92,8 @@
         url = urlsplit(request.path)
         query = {k: v[0] for k, v in parse_qs(url.query).items()}
         body = cbor2.loads(request.body) if request.body else {}
-        if url.path == "/commit" and self._stays_unanswered(body):
-            self._apply_unanswered(source, body)
+        if url.path == "/commit" and self._loses_response(body):
+            self._apply_without_response(source, body)
             await anyio.sleep(_NEVER_S)
         status, answer = self._answer(request.method, url.path, query, body)
         if source in self.commit_response_delay_s and url.path == "/commit":
@@ -102,7 +102,7 @@
 
     # Transactions without a response
 
-    def _stays_unanswered(self, body: Any) -> bool:
+    def _loses_response(self, body: Any) -> bool:
         fault = self.unanswered
         if not fault.share or not fault.selects(body["apply"]):
             return False
@@ -111,27 +111,27 @@
         fault.certain -= 1
         return True
 
-    def _apply_unanswered(self, source: str, body: Any) -> None:
+    def _apply_without_response(self, source: str, body: Any) -> None:
         if not self.unanswered.at_once:
             self._shared.network.start(functools.partial(self._apply_late, body))
             return
         status, _ = self._commit(body)
         if status == 200:
             self._shared.observed["answer lost"] += 1
-            lost = functools.partial(self._watch_lost_response, source, self.revision)
-            self._shared.network.start(lost)
+            watcher = functools.partial(self._watch_lost_response, source, self.revision)
+            self._shared.network.start(watcher)
 
     async def _watch_lost_response(self, writer: str, revision: int) -> None:
-        """Note whether others read a change while its writer does not know that it was made."""
+        """Record whether other controllers read a change whose response was lost."""
         if self.unanswered.on_lost is not None:
             self.unanswered.on_lost(writer)
         await anyio.sleep(_READ_BY_OTHERS_S)
         others = [node for name, node in self._shared.nodes.items() if name != writer]
-        seen = any(node.cache.revision >= revision for node in others)
-        self._shared.observed["read by others while its writer did not know"] += seen
+        was_read = any(node.cache.revision >= revision for node in others)
+        self._shared.observed["read by others while its writer did not know"] += was_read
 
     async def _apply_late(self, body: Any) -> None:
-        """Apply a transaction that its sender has long given up."""
+        """Apply a transaction after its sender timed out."""
         await anyio.sleep(self._shared.rng.uniform(*_LATE_COMMIT_S))
         while self.down:
             await anyio.sleep(0.5)
@@ -141,7 +141,7 @@
 
     # Requests
 
-    def _answer(self, method: str, path: str, query: dict[str, str], body: Any) -> Answer:
+    def _answer(self, method: str, path: str, query: dict[str, str], body: Any) -> StatusAndBody:
         if path == "/commit":
             return self._commit(body)
         if path == "/follow":
@@ -158,8 +158,8 @@
             return 404, {"ledger": self.revision}
         return 200, {"key": path, "v": item[0], "edition": item[1]}
 
-    def _changes_since(self, after: int, prefix: str) -> Answer:
-        """The changes after a revision; the simulated watch never waits."""
+    def _changes_since(self, after: int, prefix: str) -> StatusAndBody:
+        """Return the changes after a revision; the simulated watch does not block."""
         if self._log and after < self._log[0][0] - 1:
             return 410, {}
         log = [
@@ -169,13 +169,13 @@
         ]
         return 200, {"ledger": self.revision, "log": log}
 
-    def _list(self, prefix: str, after: str, most: int) -> Answer:
+    def _list(self, prefix: str, after: str, most: int) -> StatusAndBody:
         keys = sorted(k for k in self.items if k.startswith(prefix) and k > after)
         page = [{"key": k, "v": self.items[k][0], "edition": self.items[k][1]} for k in keys[:most]]
         return 200, {"items": page, "more": len(keys) > most, "ledger": self.revision}
 
     def _expire_leases(self) -> None:
-        """End the leases that are due, and remove the keys attached to them."""
+        """Remove the expired leases and their keys."""
         for lease in self._leases.expire():
             keys = [key for key, item in self.items.items() if item[2] == lease]
             if keys:
@@ -183,8 +183,8 @@
                 for key in keys:
                     self._change(key, None, None)
 
-    def _commit(self, body: Any) -> Answer:
-        """Apply a transaction if all its conditions hold and no limit is in the way."""
+    def _commit(self, body: Any) -> StatusAndBody:
+        """Apply a transaction if all its conditions hold and it exceeds no limit."""
         changes, conditions = body["apply"], body["guards"]
         for change in changes:
             if change.get("tenure") is not None and change["tenure"] not in self._leases:
@@ -192,7 +192,7 @@
         sizes = [len(json.dumps(c["v"], separators=(",", ":"))) for c in changes if "v" in c]
         if (
             len(changes) > self.txn_ops
-            or len(conditions) > _LARGEST_CONDITIONS * self.txn_ops
+            or len(conditions) > _MAX_CONDITIONS_PER_TXN_OP * self.txn_ops
             or any(size > self.value_bytes for size in sizes)
         ):
             self.too_large += 1
@@ -213,7 +213,7 @@
         return 200, {"ledger": self.revision}
 
     def _take_tokens(self, number: int) -> bool:
-        """Whether the rate limit allows so many changes now."""
+        """Take tokens from the rate limiter; return whether there were enough."""
         rate = self.write_rps
         self._tokens = min(rate, self._tokens + (now() - self._tokens_at) * rate)
         self._tokens_at = now()
@@ -232,7 +232,7 @@
         self._change(key, value, change.get("tenure"))
 
     def _change(self, key: str, value: Any, lease: int | None) -> None:
-        """Write one key at the current revision; None removes it."""
+        """Write a key at the current revision; None removes it."""
         self.writes[key[:4]] += 1
         self.history.append((now(), key, value))
         if value is None:
--- a/tests/simulation/task_executor.py
+++ b/tests/simulation/task_executor.py
@@ -1,4 +1,4 @@
-"""The tasks of a simulated machine: how commands change them, and how they advance with time."""
+"""Execution of commands and tasks on a simulated machine."""
 
 from typing import Any
 
@@ -17,7 +17,7 @@
         self._shared = shared
 
     def execute(self, commands: list[dict[str, Any]]) -> None:
-        """Execute commands in their order, and let time pass."""
+        """Execute commands in order, and advance the tasks."""
         for command in commands:
             name, attempt = command["entry"], command["try"]
             key = f"{name}#{attempt}"
@@ -33,7 +33,7 @@
         self.step()
 
     def _begin(self, name: str, attempt: int, key: str) -> None:
-        """Accept a task, or refuse it: then it has exited at once."""
+        """Accept a task; a refused task exits immediately."""
         shared = self._shared
         spec = shared.specs[name.partition("/")[0]]
         left_s = 0.0
@@ -52,7 +52,7 @@
         self.changed.set()
 
     def _halt(self, task: Task, grace_s: float) -> None:
-        """Stop a task; it saves first if it can and the grace period is long enough."""
+        """Stop a task, with a checkpoint if it supports one and the grace period is long enough."""
         can_save = task.spec["bookmark_s"] > 0 and grace_s >= task.spec["stamp_s"]
         if task.state == "running" and can_save:
             task.state, task.flushed_at = "flushing", now() + task.spec["stamp_s"]
@@ -64,11 +64,11 @@
         self.changed.set()
 
     def step(self) -> None:
-        """Let time pass on this machine, and check the rules."""
+        """Advance the tasks to the current time, and check the rules."""
         if self.state != "running":
             return
-        # The lease expires on a hanging machine as well: it may go on only within it.
-        # Seen in a search: what it had run counted as there, and a true proof of loss as false.
+        # The lease expires on a hanging machine as well; otherwise the tasks that it had run would
+        # count as being on it, and a valid lease expiry proof would be a violation.
         if now() - self.lease_started_at > LEASE_S:
             self.tasks.clear()
             self.epoch += 1
@@ -81,9 +81,9 @@
         self._shared.check()
 
     def _advance(self, task: Task) -> None:
-        """Take a task to the state that is due."""
+        """Move a task to its next state, if that is due."""
         if task.state == "fetching" and now() >= task.ready_at:
-            self._image_arrived(task)
+            self._start_after_fetch(task)
         elif task.state == "waiting":
             self._wait_for_gang(task)
         elif task.state == "running":
@@ -93,9 +93,9 @@
             saved[task.name] = saved.get(task.name, 0) + now() - task.ready_at
             self._exit(task, "halted", True)
 
-    def _image_arrived(self, task: Task) -> None:
+    def _start_after_fetch(self, task: Task) -> None:
         if task.name in self._shared.done:
-            self._exit(task, "done")  # the result is kept
+            self._exit(task, "done")  # the result is stored
             return
         self._shared.starts[task.name] += 1
         rules.check_task_start(self._shared, self, task)
@@ -114,9 +114,9 @@
     def _run(self, task: Task) -> None:
         spec, shared = task.spec, self._shared
         is_gang = spec["form"] == "group"
-        whole = not is_gang or len(shared.gang_members(task)) == spec["entries"]
+        gang_complete = not is_gang or len(shared.gang_members(task)) == spec["entries"]
         finished = spec["form"] != "service" and now() - task.ready_at >= task.left_s
-        if finished and (whole or task.name in shared.done):
+        if finished and (gang_complete or task.name in shared.done):
             for member in shared.gang_members(task) if is_gang else [task]:
                 shared.done.add(member.name)
             self._exit(task, "done")
@@ -124,5 +124,5 @@
                 shared.job_finished(spec["id"])
         elif task.name in shared.done:
             self._exit(task, "done")
-        elif not whole:
+        elif not gang_complete:
             self._exit(task, "mates_gone")
--- a/tests/simulation/tracing.py
+++ b/tests/simulation/tracing.py
@@ -1,4 +1,4 @@
-"""The trace of a simulation: each request, response and peer message in its order.
+"""The trace of a simulation: all requests, responses and peer messages, in order.
 
 `tools/same_plays.py` and `tools/first_difference.py` compare traces byte for byte.
 """
@@ -9,13 +9,13 @@
 
 
 class Trace:
-    """Hands each event to a listener in its order; silent while there is none."""
+    """Passes each event to the listener, if there is one."""
 
     def __init__(self) -> None:
         self.listener: Callable[[str], None] | None = None
 
     def record(self, event: str, *details: object) -> None:
-        """Hand on one event, with the virtual time in seconds."""
+        """Pass on an event, with the virtual time in seconds."""
         if self.listener is not None:
             self.listener(f"{now():.6f} {event} {' '.join(map(str, details))}")
 
--- a/tests/simulation/workers.py
+++ b/tests/simulation/workers.py
@@ -1,4 +1,4 @@
-"""The simulated workers: they send heartbeats and keep to the protocol of leases and tokens."""
+"""Simulated workers, which implement the agent side of the lease and fencing protocol."""
 
 import functools
 from typing import Any
@@ -12,16 +12,16 @@
 from simulation.shared_state import KeptHeartbeat, SharedState
 from simulation.task_executor import TaskExecutor
 
-# Times of the protocol, in seconds.
+# Timeouts and intervals of the protocol, in seconds.
 _RESPONSE_TIMEOUT_S = 4.0
-_NEXT_CONTROLLER_S = 1.0
-_HEARTBEAT_S = (1.5, 2.5)
-_CHANGE_DELAY_S = 0.3
-# How often tasks advance, in seconds.
-_STEP_S = 0.1
-# Boot time, in shares of what the catalog says.
+_NEXT_CONTROLLER_DELAY_S = 1.0
+_HEARTBEAT_INTERVAL_S = (1.5, 2.5)
+_CHANGE_REPORT_DELAY_S = 0.3
+# Interval at which tasks advance, in seconds.
+_STEP_INTERVAL_S = 0.1
+# Range of the ratio of the boot time to the catalog's value.
 _BOOT_FACTOR = (0.6, 1.5)
-# How late the copy of a heartbeat arrives, in seconds: up to well over a lease.
+# Range of the delay of a heartbeat's copy, in seconds; up to 1.5 leases.
 _COPY_DELAY_S = (2.0, 18.0)
 _NEVER_S = 1e6
 
@@ -35,7 +35,7 @@
         self.reporting_controller = shared.rng.randrange(shared.count)
 
     async def run(self) -> None:
-        """Boot, then send heartbeats until the machine is gone."""
+        """Boot, then send heartbeats until the machine is terminated."""
         await anyio.sleep(self.boots_at - now())
         if self.gone_at is not None:
             return
@@ -46,17 +46,17 @@
             if now() >= self.hung_until:
                 await self._send_heartbeat()
             self.changed = anyio.Event()
-            with anyio.move_on_after(self._shared.rng.uniform(*_HEARTBEAT_S)):
+            with anyio.move_on_after(self._shared.rng.uniform(*_HEARTBEAT_INTERVAL_S)):
                 await self.changed.wait()
-                await anyio.sleep(_CHANGE_DELAY_S)
+                await anyio.sleep(_CHANGE_REPORT_DELAY_S)
 
     async def _run_tasks(self) -> None:
         while self.state == "running":
-            await anyio.sleep(_STEP_S)
+            await anyio.sleep(_STEP_INTERVAL_S)
             self.step()
 
     async def _send_heartbeat(self) -> None:
-        """Send one heartbeat, and do what its response says."""
+        """Send a heartbeat, and process the response."""
         shared = self._shared
         if now() < self.heartbeats_lost_until:
             shared.observed["heartbeat lost"] += bool(self.tasks)
@@ -77,27 +77,29 @@
             shared.observed["response lost"] += response.status == 200
             response = Response(0)
         if response.status == 200:
-            self._take_response(cbor2.loads(response.body), sent, epoch)
+            self._process_response(cbor2.loads(response.body), sent, epoch)
             return
-        named = cbor2.loads(response.body).get("clerk") if response.status == 421 else None
-        if named is not None and named != target:
-            self.reporting_controller = int(named.rpartition("-")[2])
+        redirect_target = (
+            cbor2.loads(response.body).get("clerk") if response.status == 421 else None
+        )
+        if redirect_target is not None and redirect_target != target:
+            self.reporting_controller = int(redirect_target.rpartition("-")[2])
             return
         await self._try_next_controller()
 
     async def _call(self, target: str, request: Request) -> Response:
-        """Send a request; status 0 without a response in time."""
+        """Send a request; the status is 0 after a timeout."""
         try:
             return await self._shared.network.call(self.name, target, request, _RESPONSE_TIMEOUT_S)
         except HttpError:
             return Response(0)
 
     async def _try_next_controller(self) -> None:
-        await anyio.sleep(_NEXT_CONTROLLER_S)
+        await anyio.sleep(_NEXT_CONTROLLER_DELAY_S)
         self.reporting_controller = (self.reporting_controller + 1) % self._shared.count
 
-    def _take_response(self, body: dict[str, Any], sent: float, epoch: int) -> None:
-        """Renew the lease and execute commands, unless the response must be dropped."""
+    def _process_response(self, body: dict[str, Any], sent: float, epoch: int) -> None:
+        """Renew the lease and execute the commands, unless the token or epoch is stale."""
         if body["seal"] < self.fencing_token or epoch != self.epoch:
             return
         self._accept_token(body["seal"])
@@ -105,7 +107,7 @@
         self.execute(body["orders"])
 
     async def _deliver_again(self, request: Request, target: str) -> None:
-        """A copy of a heartbeat arrives once more."""
+        """Deliver a copy of a heartbeat after a delay."""
         await anyio.sleep(self._shared.rng.uniform(*_COPY_DELAY_S))
         if target in self._shared.nodes:
             self._shared.observed["duplicated heartbeat"] += 1
@@ -117,7 +119,7 @@
             self.changed.set()
 
     async def handle(self, source: str, request: Request) -> Response:
-        """Handle a direct request of a controller; never answered by a machine that is gone."""
+        """Handle a direct request of a controller; never returns on a terminated machine."""
         while now() < self.hung_until:
             await anyio.sleep(0.5)
         if self.state != "running" or now() < self.responses_lost_until:
@@ -133,7 +135,7 @@
         return Response(200, cbor2.dumps(self.heartbeat()))
 
     def terminate(self, listed: bool) -> None:
-        """End the machine with everything on it; listed: the cloud's list shows it as failed."""
+        """Terminate the machine and its tasks; `listed`: the cloud lists it as failed."""
         self.state = "failed" if listed else "deleted"
         self.gone_at = now()
         self.tasks.clear()
--- a/tests/simulation/workloads.py
+++ b/tests/simulation/workloads.py
@@ -1,4 +1,4 @@
-"""Jobs that users submit to a simulated cluster, drawn from its randomness."""
+"""Jobs that users submit to a simulated cluster, drawn from its random generator."""
 
 from typing import Any
 
@@ -7,27 +7,27 @@
 from simulation.cluster import SimulatedCluster
 from simulation.deployment import job
 
-# How often controllers are asked whether they are healthy, and how often at most.
-_HEALTH_CHECK_S = 0.5
-_HEALTH_CHECKS = 60
+# Interval between health checks, in seconds, and their maximum number.
+_HEALTH_CHECK_INTERVAL_S = 0.5
+_MAX_HEALTH_CHECKS = 60
 
 
 async def wait_until_healthy(cluster: SimulatedCluster) -> None:
-    """Wait until all controllers take requests.
+    """Wait until all controllers are healthy.
 
     Raises:
-        AssertionError: they do not in half a minute.
+        AssertionError: Not all controllers become healthy within 30 seconds.
     """
-    for _ in range(_HEALTH_CHECKS):
-        answers = [await cluster.ask("GET", "/healthz", node=i) for i in range(cluster.count)]
-        if all(answer.status == 200 for answer in answers):
+    for _ in range(_MAX_HEALTH_CHECKS):
+        responses = [await cluster.ask("GET", "/healthz", node=i) for i in range(cluster.count)]
+        if all(response.status == 200 for response in responses):
             return
-        await anyio.sleep(_HEALTH_CHECK_S)
+        await anyio.sleep(_HEALTH_CHECK_INTERVAL_S)
     raise AssertionError("the controllers never became healthy")
 
 
 def mixed_job(cluster: SimulatedCluster, number: int) -> dict[str, Any]:
-    """A short job of a random kind: arrays and gangs with all sorts of constraints."""
+    """Return a short random job: an array or a gang, with various constraints."""
     rng = cluster.rng
     fields: dict[str, Any] = rng.choice(
         [
@@ -43,7 +43,7 @@
 
 
 def staggered_job(cluster: SimulatedCluster, number: int) -> dict[str, Any]:
-    """Two or three tasks that end far apart, long ones, gangs, some with checkpoints."""
+    """Return a random job: tasks with different run times, long tasks or a gang."""
     rng = cluster.rng
     small: dict[str, Any] = {"vcpus": 1.0, "ram_gb": 2.0, "parcel": f"img-{number % 3}"}
     fields: dict[str, Any] = rng.choice(
@@ -59,7 +59,7 @@
 
 
 def pipeline(cluster: SimulatedCluster, first: int, **last: Any) -> list[dict[str, Any]]:
-    """A DAG of jobs: one, then two or three in parallel, one that joins them, and the last."""
+    """Return a DAG of jobs: one, two or three in parallel, one that joins them, and the last."""
     rng = cluster.rng
     small: dict[str, Any] = {"vcpus": 1.0, "ram_gb": 2.0, "rank": "idle", "expect_s": 3.0}
     teams = ["red", "blue"]
@@ -69,7 +69,7 @@
         awaits = [jobs[0]["id"]]
         jobs.append(job(first + 1 + number, entries=rng.randint(1, 6), awaits=awaits, **small))
     parallel = [spec["id"] for spec in jobs[1:]]
-    # One dependency twice: a repetition must mean the same as the name once.
+    # A duplicate dependency must have no effect.
     awaits = [*parallel, parallel[0]]
     jobs.append(job(first + width + 1, awaits=awaits, bureau=rng.choice(teams), expect_s=4.0))
     fields: dict[str, Any] = {"rank": "urgent", "expect_s": 2.0, "due_s": 120.0} | last
@@ -80,6 +80,6 @@
 async def submit_in_order(
     cluster: SimulatedCluster, jobs: list[dict[str, Any]], tries: int = 120
 ) -> None:
-    """Submit jobs one after another, each as soon as those that it depends on are accepted."""
+    """Submit jobs one after another, each after its dependencies are accepted."""
     for spec in jobs:
         assert await cluster.submit(spec, tries) in (200, 201), spec
--- a/tests/test_read_consistency.py
+++ b/tests/test_read_consistency.py
@@ -347,7 +347,7 @@
         cluster.store.commit_response_delay_s = {f"node-{i}": 1.4 for i in (1, 2)}
         with anyio.move_on_after(8.0):
             while len(forwarded_to) < 2:
-                cluster.network.tasks.start_soon(cluster.offer, job(1), 0)
+                cluster.network.tasks.start_soon(cluster.submit_once, job(1), 0)
                 await anyio.sleep(0.2)
         cluster.thaw(index)
         await anyio.sleep(3.0)
