--- a/tests/simulation/answer_consistency.py
+++ b/tests/simulation/answer_consistency.py
@@ -22,8 +22,8 @@
     def __init__(self, record_violation: Callable[[str, str], None]) -> None:
         self._record_violation = record_violation
         self.accepted_at: dict[str, float] = {}
-        self.over: dict[str, str] = {}  # the first final state in a response
-        self.over_at: dict[str, float] = {}
+        self.final_states: dict[str, str] = {}  # the first final state in a response
+        self.final_state_at: dict[str, float] = {}
 
     def check_unknown(self, job_id: str, sent: float, status: int) -> None:
         """Check a response 404, 400 or 422 to a request about a job.
@@ -47,14 +47,14 @@
         Rule `went_back`: a job that was reported done or cancelled is reported in another state.
         """
         self.accepted_at.setdefault(job_id, arrived)
-        before = self.over.get(job_id)
+        before = self.final_states.get(job_id)
         if state in FINAL_STATES:
             # One of the two responses was wrong, regardless of the order of the requests.
             if before not in (None, state):
                 self._record_violation("went_back", f"{job_id} was {before}, is {state}")
-            self.over.setdefault(job_id, state)
-            self.over_at.setdefault(job_id, arrived)
-        elif before is not None and sent > self.over_at[job_id]:
+            self.final_states.setdefault(job_id, state)
+            self.final_state_at.setdefault(job_id, arrived)
+        elif before is not None and sent > self.final_state_at[job_id]:
             self._record_violation("went_back", f"{job_id} was {before}, is {state}")
 
 
--- a/tests/simulation/fault_scenarios.py
+++ b/tests/simulation/fault_scenarios.py
@@ -67,7 +67,7 @@
     assert not left, [(i, cluster.specs[i], await cluster.poll(i)) for i in left]
     for job_id in ids:
         if not cluster.is_cancelled(job_id):
-            assert cluster.answers.over[job_id] == "done", job_id
+            assert cluster.answers.final_states[job_id] == "done", job_id
 
 
 async def run_with_faults(
--- a/tests/simulation/users.py
+++ b/tests/simulation/users.py
@@ -141,7 +141,7 @@
     def _check_state(self, job_id: str, state: str, sent_at: float) -> None:
         """Check a response with the state of a job."""
         shared = self._shared
-        first = job_id not in shared.answers.over
+        first = job_id not in shared.answers.final_states
         shared.answers.check_state(job_id, state, sent_at, now())
         if state == "cancelled":
             rules.check_cancelled_by_user(shared, job_id)
--- a/tests/test_cancelled.py
+++ b/tests/test_cancelled.py
@@ -73,7 +73,7 @@
             cluster.network.tasks.start_soon(cluster.cancel, job_id, 240, other)
         await cancel_running_jobs(cluster, 6)
         await anyio.sleep(1.0)
-        cluster.observed["answered before the outage"] += len(cluster.answers.over)
+        cluster.observed["answered before the outage"] += len(cluster.answers.final_states)
         cluster.observed["its machines report to the leader"] += machines_with_cancelled_work(
             cluster, index
         )
@@ -158,7 +158,7 @@
             await restart(cluster, index, 1.0)
         await cancel_running_jobs(cluster, 6)
         await anyio.sleep(0.5)
-        answered = [i for i in ids if cluster.answers.over.get(i) == "cancelled"]
+        answered = [i for i in ids if cluster.answers.final_states.get(i) == "cancelled"]
         cluster.observed["answered while heartbeats were lost"] += len(answered)
         if fault == "outage":
             cluster.store.outage(True)
--- a/tests/test_cancelled_at_limit.py
+++ b/tests/test_cancelled_at_limit.py
@@ -112,7 +112,7 @@
         for job_id in chosen:
             cluster.network.tasks.start_soon(cluster.cancel, job_id, 240)
         await anyio.sleep(cluster.rng.uniform(0.2, 1.0))
-        answered = [i for i in chosen if cluster.answers.over.get(i) == "cancelled"]
+        answered = [i for i in chosen if cluster.answers.final_states.get(i) == "cancelled"]
         unreachable = (
             {w.name for w, _ in running_tasks(cluster, *answered)} & lost if answered else set()
         )
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -334,11 +334,11 @@
     assert not late, [(i, await cluster.poll(i)) for i in late]
     for name in ids:
         if cluster.needed(name) & {
-            n for n in cancelled if cluster.answers.over.get(n) == "cancelled"
+            n for n in cancelled if cluster.answers.final_states.get(n) == "cancelled"
         }:
-            assert cluster.answers.over[name] == "cancelled"
+            assert cluster.answers.final_states[name] == "cancelled"
         elif name not in cancelled:
-            assert cluster.answers.over[name] == "done", name
+            assert cluster.answers.final_states[name] == "done", name
 
 
 @pytest.mark.parametrize(
--- a/tests/test_read_consistency.py
+++ b/tests/test_read_consistency.py
@@ -108,7 +108,7 @@
     async def main() -> None:
         await run_with_faults(cluster, (no_fault,), 30, short_job, cancels=0.0)
         # Both outcomes of the race must occur.
-        for state in set(cluster.answers.over.values()):
+        for state in set(cluster.answers.final_states.values()):
             cluster.observed[f"was {state} at the end"] += 1
 
     observations = ("cancelled at its end", "looked at when ended")
@@ -128,7 +128,7 @@
                 assert await cluster.submit(spec) in (200, 201)
         ids = [spec["id"] for specs in pipelines for spec in specs]
         await check_recovery(cluster, ids)
-        final_states = cluster.answers.over
+        final_states = cluster.answers.final_states
         for job_id in ids:
             dependencies = {final_states[name] for name in cluster.needed(job_id)}
             if "cancelled" in dependencies:
