--- a/tests/simulation/cloud.py
+++ b/tests/simulation/cloud.py
@@ -49,7 +49,9 @@
 
     @staticmethod
     def _describe(worker: Worker) -> dict[str, Any]:
-        failed = worker.state == "failed" and now() - (worker.gone_at or 0) > _FAILURE_LIST_DELAY_S
+        failed = (
+            worker.state == "failed" and now() - (worker.terminated_at or 0) > _FAILURE_LIST_DELAY_S
+        )
         alive = "starting" if worker.state == "starting" else "running"
         return {
             "id": worker.name,
--- a/tests/simulation/faults.py
+++ b/tests/simulation/faults.py
@@ -75,7 +75,7 @@
     hosts = ["state", "cloud", "node-0", "node-1", "node-2"]
     for _ in range(8):
         await anyio.sleep(cluster.rng.uniform(1.0, 4.0))
-        machines = [w.name for w in cluster.cloud.workers.values() if w.gone_at is None]
+        machines = [w.name for w in cluster.cloud.workers.values() if w.terminated_at is None]
         source = cluster.rng.choice(hosts[2:])
         for target in cluster.rng.sample(hosts + machines, 3):
             if target != source:
@@ -131,7 +131,7 @@
 async def spot_reclaim_wave(cluster: SimulatedCluster) -> None:
     """Reclaim most spot machines, half of them without notice, while controllers restart."""
     await anyio.sleep(10.0)
-    spot = [w for w in cluster.cloud.workers.values() if w.spot and w.gone_at is None]
+    spot = [w for w in cluster.cloud.workers.values() if w.spot and w.terminated_at is None]
     for worker in spot:
         if cluster.rng.random() < 0.5:
             worker.notice_until = now() + 8.0
@@ -142,7 +142,7 @@
     for index in (0, 1, 2):
         cluster.boot(index)
     for worker in spot:
-        if worker.gone_at is None and cluster.rng.random() < 0.8:
+        if worker.terminated_at is None and cluster.rng.random() < 0.8:
             worker.terminate(False)
 
 
--- a/tests/simulation/machines.py
+++ b/tests/simulation/machines.py
@@ -41,7 +41,7 @@
         self.name, self.kind, self.zone, self.spot = name, kind, zone, spot
         self.rented_at = now()
         self.boots_at = now()
-        self.gone_at: float | None = None
+        self.terminated_at: float | None = None
         self.state: MachineState = "starting"
         self.epoch, self.sequence, self.fencing_token = 1, 0, 0
         self.tasks: dict[str, Task] = {}  # by name and attempt
--- a/tests/simulation/shared_state.py
+++ b/tests/simulation/shared_state.py
@@ -112,7 +112,7 @@
         return [
             (machine, task)
             for machine in self.machines.values()
-            if machine.gone_at is None
+            if machine.terminated_at is None
             for task in machine.tasks.values()
             if task.on_machine
         ]
--- a/tests/simulation/workers.py
+++ b/tests/simulation/workers.py
@@ -37,7 +37,7 @@
     async def run(self) -> None:
         """Boot, then send heartbeats until the machine is terminated."""
         await anyio.sleep(self.boots_at - now())
-        if self.gone_at is not None:
+        if self.terminated_at is not None:
             return
         self.state, self.lease_started_at = "running", now()
         self._shared.network.handlers[self.name] = self.handle
@@ -137,6 +137,6 @@
     def terminate(self, listed: bool) -> None:
         """Terminate the machine and its tasks; `listed`: the cloud lists it as failed."""
         self.state = "failed" if listed else "deleted"
-        self.gone_at = now()
+        self.terminated_at = now()
         self.tasks.clear()
         self._shared.network.handlers.pop(self.name, None)
--- a/tests/test_single_faults.py
+++ b/tests/test_single_faults.py
@@ -239,7 +239,7 @@
         assert not await cluster.until_done(ids, 120.0)
         await anyio.sleep(60.0)
         never_up = [w for w in cluster.cloud.workers.values() if w.boots_at > now() + 1e5]
-        assert len(never_up) == 2 and all(w.gone_at is not None for w in never_up)
+        assert len(never_up) == 2 and all(w.terminated_at is not None for w in never_up)
 
     run(cluster, main)
     assert cluster.violations == []
