--- a/tests/simulation/rules.py
+++ b/tests/simulation/rules.py
@@ -34,7 +34,7 @@
     """
     for task in tasks:
         job_id = task.spec["id"]
-        for name in (job_id, *shared.needed(job_id)):
+        for name in (job_id, *shared.dependencies(job_id)):
             answered_at = shared.cancelled_at.get(name)
             if answered_at is not None and now() - answered_at > shared.cancel_s:
                 shared.record_violation("ran_cancelled", task.name)
@@ -154,6 +154,6 @@
 
 def check_dependents_are_cancelled(shared: SharedState, job_id: str, asked: float) -> None:
     """Rule `orphaned`: a job is live over `cancel_s` after its dependency was cancelled."""
-    for name in shared.needed(job_id):
+    for name in shared.dependencies(job_id):
         if asked - shared.cancelled_at.get(name, asked) > shared.cancel_s:
             shared.record_violation("orphaned", f"{job_id} after {name}")
--- a/tests/simulation/shared_state.py
+++ b/tests/simulation/shared_state.py
@@ -82,7 +82,7 @@
         """Record the violation of a rule."""
         self.violations.append(f"{now():.2f} {rule}: {detail}")
 
-    def needed(self, job_id: str) -> set[str]:
+    def dependencies(self, job_id: str) -> set[str]:
         """Return the direct and transitive dependencies of a job."""
         dependencies: set[str] = set()
         stack = [job_id]
@@ -95,7 +95,7 @@
 
     def is_cancelled(self, job_id: str) -> bool:
         """Return whether a user has requested to cancel a job or one of its dependencies."""
-        return bool(self.cancelled_at.keys() & {job_id, *self.needed(job_id)})
+        return bool(self.cancelled_at.keys() & {job_id, *self.dependencies(job_id)})
 
     def is_done(self, job_id: str) -> bool:
         """Return whether all tasks of a job have completed."""
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -333,7 +333,7 @@
     late = await cluster.until_done(ids, 300.0)
     assert not late, [(i, await cluster.poll(i)) for i in late]
     for name in ids:
-        if cluster.needed(name) & {
+        if cluster.dependencies(name) & {
             n for n in cancelled if cluster.answers.final_states.get(n) == "cancelled"
         }:
             assert cluster.answers.final_states[name] == "cancelled"
--- a/tests/test_read_consistency.py
+++ b/tests/test_read_consistency.py
@@ -130,7 +130,7 @@
         await check_recovery(cluster, ids)
         final_states = cluster.answers.final_states
         for job_id in ids:
-            dependencies = {final_states[name] for name in cluster.needed(job_id)}
+            dependencies = {final_states[name] for name in cluster.dependencies(job_id)}
             if "cancelled" in dependencies:
                 assert final_states[job_id] == "cancelled", job_id
                 cluster.observed["followed a cancelled job"] += 1
