--- a/tests/simulation/network.py
+++ b/tests/simulation/network.py
@@ -49,7 +49,7 @@
         self.one_way.clear()
         self.refused.clear()
 
-    def between(self, source: str, target: str) -> CutMode | None:
+    def cut_mode(self, source: str, target: str) -> CutMode | None:
         """Return the mode of the cut from one host to another, or None if there is no cut."""
         return self.one_way.get((source, target)) or self.cuts.get(frozenset((source, target)))
 
@@ -76,7 +76,7 @@
             if response is None:
                 return
             await anyio.sleep(self.rng.uniform(_MIN_DELAY_S, self.delay_s))
-            if self.between(target, source) is None:
+            if self.cut_mode(target, source) is None:
                 responses.append(response)
                 arrived.set()
 
@@ -93,7 +93,7 @@
         """Deliver a request and return the response, or None if it is lost."""
         await anyio.sleep(self.rng.uniform(_MIN_DELAY_S, self.delay_s))
         sent = now()
-        while (mode := self.between(source, target)) is not None:
+        while (mode := self.cut_mode(source, target)) is not None:
             if mode == "drop":
                 return None
             await anyio.sleep(_HELD_MESSAGE_CHECK_INTERVAL_S)
--- a/tests/simulation/peer_connection.py
+++ b/tests/simulation/peer_connection.py
@@ -71,7 +71,7 @@
     def _arrive(self, body: bytes) -> None:
         """Deliver a message to the peer unless it has crashed or is cut off."""
         node = self._shared.nodes.get(self._target)
-        if node is None or self._shared.network.between(self._source, self._target) is not None:
+        if node is None or self._shared.network.cut_mode(self._source, self._target) is not None:
             return
         try:
             message = node.version.mesh._decoder.decode(body)
