--- a/tests/production.py
+++ b/tests/production.py
@@ -32,7 +32,7 @@
 
 
 @functools.cache
-def missing() -> str | None:
+def unavailable_reason() -> str | None:
     """Why the code in production cannot be had here, or None."""
     try:
         _git("cat-file", "-e", f"{commit()}^{{commit}}")
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -71,7 +71,10 @@
     team_limits = {"red": limits}
     small = spec(1, entries=2, vcpus=2.0)
     assert rejection_reason(small, cache.machine_types, team_limits) is None
-    assert rejection_reason(spec(2, bureau="green"), cache.machine_types, team_limits) == "unknown team"
+    assert (
+        rejection_reason(spec(2, bureau="green"), cache.machine_types, team_limits)
+        == "unknown team"
+    )
     transaction = Transaction(cache)
     submit(transaction, small, 0.0)
     commit(cache, transaction)
@@ -142,7 +145,9 @@
     run_and_expect(cluster, main, "spot machine reclaimed", "all done")
 
 
-@pytest.mark.skipif(production.missing() is not None, reason=str(production.missing()))
+@pytest.mark.skipif(
+    production.unavailable_reason() is not None, reason=str(production.unavailable_reason())
+)
 def test_versions_with_different_admission_rules_agree_on_accepted_jobs() -> None:
     """The version in production rejects jobs of a team with a GPU limit only, a new one does not."""
     cluster = SimulatedCluster(
--- a/tests/test_samples.py
+++ b/tests/test_samples.py
@@ -52,8 +52,8 @@
 
 def test_samples_are_of_the_version_in_production() -> None:
     assert SAMPLES["commit"] == production.commit()
-    if production.missing() is not None:
-        pytest.skip(str(production.missing()))
+    if production.unavailable_reason() is not None:
+        pytest.skip(str(production.unavailable_reason()))
     assert json.loads(json.dumps(samples.make(), default=list)) == SAMPLES
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -31,13 +31,13 @@
 from simulation.workloads import mixed_job, pipeline, submit_in_order, wait_until_healthy
 
 requires_history = pytest.mark.skipif(
-    production.missing() is not None, reason=str(production.missing())
+    production.unavailable_reason() is not None, reason=str(production.unavailable_reason())
 )
 
 
 def test_production_commit_is_in_the_history() -> None:
-    if production.missing() is not None:
-        pytest.skip(str(production.missing()))
+    if production.unavailable_reason() is not None:
+        pytest.skip(str(production.unavailable_reason()))
     production._git("merge-base", "--is-ancestor", production.commit(), "HEAD")
 
 
