--- a/tests/simulation/controllers.py
+++ b/tests/simulation/controllers.py
@@ -14,7 +14,7 @@
 import production
 from sandladder.config import Settings
 from sandladder.transport import Request, Response
-from simulation.deployment import TODAY, settings
+from simulation.deployment import THIS_VERSION, settings
 from simulation.event_loop import CURRENT_PROCESSOR, Processor, now
 from simulation.network import SimulatedHttpClient
 from simulation.peer_connection import SimulatedPeerConnection
@@ -95,7 +95,7 @@
         # Overrides of the store's settings.
         self._state_settings = state_settings
         # The version that each controller runs from its next start.
-        self.versions = [production.load() if old else TODAY] * shared.count
+        self.versions = [production.load() if old else THIS_VERSION] * shared.count
         self._scopes: dict[str, anyio.CancelScope] = {}  # of the running processes
 
     def boot(self, index: int, twin: bool = False) -> None:
--- a/tests/simulation/deployment.py
+++ b/tests/simulation/deployment.py
@@ -34,7 +34,7 @@
 NEXT = {"write_rps": 20.0, "value_kb": 2.0, "txn_ops": 4}
 
 # The version in the working tree; `production.load()` returns the one in production.
-TODAY = production.Version(
+THIS_VERSION = production.Version(
     control=controller_module, http=http, mesh=peer_messages, settings=settings_module
 )
 
@@ -49,7 +49,7 @@
     index: int = 0,
     count: int = 3,
     grown: bool = False,
-    version: Any = TODAY,
+    version: Any = THIS_VERSION,
     cancel_s: float = CANCEL_S,
     limits: list[dict[str, Any]] | None = None,
     **state: Any,
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -11,7 +11,7 @@
 from sandladder.jobs import rejection_reason, start, submit
 from sandladder.model import NO_HEADROOM, Placement, TeamUsage, headroom, within_guarantee
 from sandladder.state import PreconditionFailedError, Transaction
-from simulation import TODAY, SimulatedCluster, job
+from simulation import THIS_VERSION, SimulatedCluster, job
 from simulation.answer_consistency import is_over_limit
 from simulation.fault_scenarios import run_and_expect, wait_until
 from simulation.workloads import wait_until_healthy
@@ -163,7 +163,7 @@
         refused = job(1, **fields)
         assert await statuses("POST", "/work", refused) == [422] * 3
         cluster.crash(0)
-        cluster.versions[0] = TODAY
+        cluster.versions[0] = THIS_VERSION
         cluster.boot(0)
         await wait_until_healthy(cluster)
         jobs = [job(2, **fields), job(3, **fields)]
@@ -181,7 +181,7 @@
         cluster.observed["answered by both versions"] += 1
         for index in (1, 2):
             cluster.crash(index)
-            cluster.versions[index] = TODAY
+            cluster.versions[index] = THIS_VERSION
             await anyio.sleep(2.0)
             cluster.boot(index)
             await anyio.sleep(4.0)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -18,7 +18,7 @@
     raise_schema_version,
     retire_controller,
 )
-from simulation import NEXT, TODAY, SimulatedCluster, job, now, run
+from simulation import NEXT, THIS_VERSION, SimulatedCluster, job, now, run
 from simulation.faults import (
     Fault,
     all_faults,
@@ -45,7 +45,7 @@
     """Kill the controllers in order, and restart each with the current version."""
     for index in order:
         cluster.crash(index)
-        cluster.versions[index] = TODAY
+        cluster.versions[index] = THIS_VERSION
         await anyio.sleep(cluster.rng.uniform(1.0, 3.0))
         cluster.boot(index)
         await anyio.sleep(cluster.rng.uniform(0.0, pause_s))
@@ -125,7 +125,7 @@
             cluster.network.tasks.start_soon(cluster.submit, mixed_job(cluster, number), 120)
             index = cluster.rng.randrange(2)  # the third keeps the old version
             cluster.crash(index)
-            cluster.versions[index] = cluster.rng.choice([old, TODAY])
+            cluster.versions[index] = cluster.rng.choice([old, THIS_VERSION])
             await anyio.sleep(cluster.rng.uniform(0.5, 2.0))
             cluster.boot(index)
             await anyio.sleep(cluster.rng.uniform(1.0, 6.0))
@@ -133,7 +133,7 @@
         assert all(key != "s/j/form" for key in cluster.store.items)
         # A job with dependencies is rejected while a controller does not support them.
         answer = await cluster.ask("POST", "/work", job(50, awaits=[ids[0]]), node=0)
-        if cluster.versions[0] is TODAY:
+        if cluster.versions[0] is THIS_VERSION:
             assert answer.status == 503 and answer.retry_after is not None
 
     run(cluster, main)
