--- a/tests/simulation/deployment.py
+++ b/tests/simulation/deployment.py
@@ -31,7 +31,7 @@
 CANCEL_S = 36.0  # default of a simulation
 LIST_LAG_S = 3.0
 # The store's limits after an upgrade (`next` in the settings).
-NEXT = {"write_rps": 20.0, "value_kb": 2.0, "txn_ops": 4}
+NEXT_LIMITS = {"write_rps": 20.0, "value_kb": 2.0, "txn_ops": 4}
 
 # The version in the working tree; `production.load()` returns the one in production.
 THIS_VERSION = production.Version(
--- a/tests/simulation/store.py
+++ b/tests/simulation/store.py
@@ -13,7 +13,7 @@
 
 from sandladder.transport import Request, Response
 from simulation import rules
-from simulation.deployment import NEXT, WRITE_RPS
+from simulation.deployment import NEXT_LIMITS, WRITE_RPS
 from simulation.event_loop import now
 from simulation.leases import Leases
 from simulation.shared_state import SharedState
@@ -78,9 +78,9 @@
 
     def apply_next_limits(self) -> None:
         """Apply the limits that the settings announce as `next`."""
-        self.txn_ops = int(NEXT["txn_ops"])
-        self.value_bytes = NEXT["value_kb"] * 1024
-        self.write_rps = NEXT["write_rps"]
+        self.txn_ops = int(NEXT_LIMITS["txn_ops"])
+        self.value_bytes = NEXT_LIMITS["value_kb"] * 1024
+        self.write_rps = NEXT_LIMITS["write_rps"]
 
     async def handle(self, source: str, request: Request) -> Response:
         """Handle a request; a cancelled request may have been executed."""
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -18,7 +18,7 @@
     raise_schema_version,
     retire_controller,
 )
-from simulation import NEXT, THIS_VERSION, SimulatedCluster, job, now, run
+from simulation import NEXT_LIMITS, THIS_VERSION, SimulatedCluster, job, now, run
 from simulation.faults import (
     Fault,
     all_faults,
@@ -106,7 +106,7 @@
 
 
 def play_upgrade(seed: int, fault: Fault) -> None:
-    cluster = SimulatedCluster(seed, old=True, next=NEXT)
+    cluster = SimulatedCluster(seed, old=True, next=NEXT_LIMITS)
     run(cluster, lambda: run_upgrade(cluster, fault))
     assert cluster.violations == []
     assert cluster.store.too_large == 0
@@ -115,7 +115,7 @@
 @requires_history
 def test_old_and_new_controllers_share_records_in_any_upgrade_order() -> None:
     """Controllers are upgraded and downgraded again while one still runs the old version."""
-    cluster = SimulatedCluster(920, old=True, next=NEXT)
+    cluster = SimulatedCluster(920, old=True, next=NEXT_LIMITS)
     old = production.load()
 
     async def main() -> None:
@@ -142,7 +142,7 @@
 
 @requires_history
 def test_old_controller_started_after_the_upgrade_is_blocked(caplog: Any) -> None:
-    cluster = SimulatedCluster(930, next=NEXT)
+    cluster = SimulatedCluster(930, next=NEXT_LIMITS)
 
     async def main() -> None:
         await wait_until_healthy(cluster)
@@ -225,7 +225,7 @@
 @pytest.mark.parametrize("seed", [1, 2])
 def test_wide_jobs_run_within_the_smallest_limits(seed: int) -> None:
     """Wide arrays, gangs and services with values of 2 KiB and 4 operations per transaction."""
-    cluster = SimulatedCluster(950 + seed, grown=True, next=NEXT)
+    cluster = SimulatedCluster(950 + seed, grown=True, next=NEXT_LIMITS)
     cluster.cloud.capacity = 60
     cluster.apply_next_limits()
 
