--- a/tests/simulation/cluster.py
+++ b/tests/simulation/cluster.py
@@ -32,7 +32,7 @@
         self,
         seed: int,
         count: int = 3,
-        grown: bool = False,
+        large: bool = False,
         old: bool = False,
         cancel_s: float = CANCEL_S,
         limits: list[dict[str, Any]] | None = None,
@@ -43,19 +43,19 @@
         Args:
             seed: Seed of the random generator.
             count: Number of controllers.
-            grown: Use ten times the teams' limits, and small values in the store.
+            large: Use ten times the teams' limits, and small values in the store.
             old: Run the controllers of the version in production.
             cancel_s: Time limit for stopping the tasks of a cancelled job, in seconds.
             limits: Teams with their guarantees and limits, in place of the default ones.
             state: Overrides of the store's settings.
         """
-        teams = team_limits(grown) if limits is None else limits
+        teams = team_limits(large) if limits is None else limits
         super().__init__(seed, count, cancel_s, teams)
         self.store = Store(self)
         self.cloud = Cloud(self)
         self.network.handlers["state"] = self.store.handle
         self.network.handlers["cloud"] = self.cloud.handle
-        self.controllers = Controllers(self, grown, old, state)
+        self.controllers = Controllers(self, large, old, state)
         self.network.on_commands = self.controllers.note_commands
         self.users = Users(self)
         # Shortcuts for tests.
--- a/tests/simulation/controllers.py
+++ b/tests/simulation/controllers.py
@@ -88,10 +88,10 @@
     """Starts, freezes, slows down and crashes controllers."""
 
     def __init__(
-        self, shared: SharedState, grown: bool, old: bool, state_settings: dict[str, Any]
+        self, shared: SharedState, large: bool, old: bool, state_settings: dict[str, Any]
     ) -> None:
         self._shared = shared
-        self._grown = grown
+        self._large = large
         # Overrides of the store's settings.
         self._state_settings = state_settings
         # The version that each controller runs from its next start.
@@ -126,7 +126,7 @@
         controller_settings = settings(
             index,
             shared.count,
-            self._grown,
+            self._large,
             version,
             shared.cancel_s,
             shared.teams,
--- a/tests/simulation/deployment.py
+++ b/tests/simulation/deployment.py
@@ -39,16 +39,16 @@
 )
 
 
-def team_limits(grown: bool) -> list[dict[str, Any]]:
-    """Return the teams with their guarantees and limits; `grown` multiplies them by ten."""
-    factor = 10.0 if grown else 1.0
+def team_limits(large: bool) -> list[dict[str, Any]]:
+    """Return the teams with their guarantees and limits; `large` multiplies them by ten."""
+    factor = 10.0 if large else 1.0
     return [{k: v if k == "name" else v * factor for k, v in t.items()} for t in TEAMS]  # type: ignore[operator]
 
 
 def settings(
     index: int = 0,
     count: int = 3,
-    grown: bool = False,
+    large: bool = False,
     version: Any = THIS_VERSION,
     cancel_s: float = CANCEL_S,
     limits: list[dict[str, Any]] | None = None,
@@ -56,7 +56,7 @@
 ) -> Settings:
     """Return the settings of one of `count` controllers, as parsed by a version.
 
-    `grown` uses ten times the teams' limits, and small values in the store.  `state` overrides the
+    `large` uses ten times the teams' limits, and small values in the store.  `state` overrides the
     store's settings.
     """
     names = [f"node-{i}" for i in range(count)]
@@ -69,7 +69,7 @@
         "external": {"cloud": "cloud:1", "state": "state:1"},
         "deployment": {
             "zones": ZONES,
-            "teams": team_limits(grown) if limits is None else limits,
+            "teams": team_limits(large) if limits is None else limits,
             "objectives": [{"kind": "wait", "class": "web", "within_s": 1.0, "share": 0.9}],
             "workers": {
                 "report_s": REPORT_S,
@@ -81,7 +81,7 @@
             "state": {
                 "rps": 150.0,
                 "write_rps": WRITE_RPS,
-                "value_kb": 2.0 if grown else 8.0,
+                "value_kb": 2.0 if large else 8.0,
                 "txn_ops": 12,
             }
             | state,
--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -90,7 +90,7 @@
 
 def play_grown(seed: int, fault: Fault) -> None:
     """Run one seeded day of a large cluster with a fault; no rule may break."""
-    cluster = SimulatedCluster(seed, count=7, grown=True)
+    cluster = SimulatedCluster(seed, count=7, large=True)
     cluster.cloud.capacity = 48
 
     async def main() -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -225,7 +225,7 @@
 @pytest.mark.parametrize("seed", [1, 2])
 def test_wide_jobs_run_within_the_smallest_limits(seed: int) -> None:
     """Wide arrays, gangs and services with values of 2 KiB and 4 operations per transaction."""
-    cluster = SimulatedCluster(950 + seed, grown=True, next=NEXT_LIMITS)
+    cluster = SimulatedCluster(950 + seed, large=True, next=NEXT_LIMITS)
     cluster.cloud.capacity = 60
     cluster.apply_next_limits()
 
@@ -254,7 +254,7 @@
 
 def test_limits_that_shrink_without_notice_stop_no_service() -> None:
     """Guards against endless retries of a transaction that exceeds the store's limits."""
-    cluster = SimulatedCluster(960, grown=True, value_kb=8.0)
+    cluster = SimulatedCluster(960, large=True, value_kb=8.0)
     cluster.cloud.capacity = 60
     wide = {"entries": 60, "vcpus": 16.0, "ram_gb": 16.0, "expect_s": 8.0}
 
