--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""What the tests of the parts share: specs, a scene with two machines, summaries."""
+"""What the tests of the parts share: specs, a scheduler_with_two_machines with two machines, summaries."""
 
 from random import Random
 
@@ -35,7 +35,9 @@
     cache.apply(cache.revision + 1, [])
 
 
-def scene(value_kb: float = 8.0) -> tuple[ClusterView, Planner, StateCache, Reconciler]:
+def scheduler_with_two_machines(
+    value_kb: float = 8.0,
+) -> tuple[ClusterView, Planner, StateCache, Reconciler]:
     """A controller's picture with two machines that report to it."""
     cache, reconciler, gate = StateCache(), Reconciler(), Gate()
     for name in ("small", "large"):
@@ -83,7 +85,7 @@
 
 
 def started_gang() -> tuple[StateCache, Planner, Job]:
-    cluster_view, planner, cache, _ = scene()
+    cluster_view, planner, cache, _ = scheduler_with_two_machines()
     found = accept(cache, entries=3, form="group")
     transaction = Transaction(cache)
     start(transaction, found.id, [i.placement for i in planner.plan([found], {})], LIMITS)
--- a/tests/scheduling_scenes.py
+++ b/tests/scheduling_scenes.py
@@ -6,7 +6,7 @@
 from sandladder.scheduling import ClusterView, Gate
 from sandladder.state import StateCache, Transaction
 
-# The machines of `helpers.scene`: name, type and zone.
+# The machines of `helpers.scheduler_with_two_machines`: name, type and zone.
 MACHINES = (("vm-1", "small", "north"), ("vm-2", "large", "south"))
 ZONE_BY_MACHINE = {name: zone for name, _, zone in MACHINES}
 
--- a/tests/test_autoscaler.py
+++ b/tests/test_autoscaler.py
@@ -7,7 +7,7 @@
 import anyio
 import pytest
 
-from helpers import commit, scene
+from helpers import commit, scheduler_with_two_machines
 from sandladder.autoscaling import CloudError, NoCapacityError, ScaleOutRequest, ScalingPolicy
 from sandladder.autoscaling.autoscaler_lease import AutoscalerLease
 from sandladder.autoscaling.controller_status import ControllerStatus
@@ -256,7 +256,7 @@
     """A launcher with a scripted cloud, the queued records and the recorded refusals."""
 
     def __init__(self, *outcomes: Any) -> None:
-        cluster_view, _, self.cache, _ = scene()
+        cluster_view, _, self.cache, _ = scheduler_with_two_machines()
         self.cloud, self.refused = ScriptedCloud(*outcomes), []
         self.policy = ScalingPolicy(cluster_view)
         self.policy.record_refusal = self.refused.append  # type: ignore[method-assign]
@@ -302,7 +302,7 @@
 
 def single_zone_scene(responsive: int, unresponsive: int) -> tuple[ClusterView, BootedMachines]:
     """Return a view of instances in one zone, of which some sent recent heartbeats."""
-    cluster_view, _, cache, reconciler = scene()
+    cluster_view, _, cache, reconciler = scheduler_with_two_machines()
     booted = BootedMachines()
     names = [f"vm-{number:06d}" for number in range(10, 10 + responsive + unresponsive)]
     cache.instances.update(dict.fromkeys(names, record(ACTIVE)))
@@ -337,7 +337,7 @@
 
 
 def test_a_boot_is_overdue_after_four_times_the_boot_time() -> None:
-    _, _, cache, _ = scene()  # both types boot in 9 seconds
+    _, _, cache, _ = scheduler_with_two_machines()  # both types boot in 9 seconds
     booting = ListedMachine("vm-1", "small", "north", True, "booting", 36.0, "vm-1:1")
     assert not boot_is_overdue(booting, cache.machine_types)
     assert boot_is_overdue(booting._replace(age_s=36.1), cache.machine_types)
--- a/tests/test_autoscaling.py
+++ b/tests/test_autoscaling.py
@@ -7,7 +7,7 @@
 import anyio
 import pytest
 
-from helpers import accept, commit, scene, spec
+from helpers import accept, commit, scheduler_with_two_machines, spec
 from sandladder.autoscaling import (
     CloudClient,
     CloudError,
@@ -39,8 +39,8 @@
 
 
 def scene_with_gpus(machines: dict[str, str]):
-    """Return the scene with additional GPU machines, given as zones by name."""
-    cluster_view, planner, cache, _ = scene()
+    """Return `scheduler_with_two_machines` with additional GPU machines, given as zones by name."""
+    cluster_view, planner, cache, _ = scheduler_with_two_machines()
     cluster_view.team_limits["red"] = TeamLimits("red")
     cache.machine_types["gpu"] = GPU_TYPE
     for name, zone in machines.items():
@@ -58,13 +58,13 @@
 
 def test_there_is_one_request_per_offer_and_none_for_unwritten_instances() -> None:
     """Guards against duplicate requests for the same shortage."""
-    cluster_view, _, cache, _ = scene()
+    cluster_view, _, cache, _ = scheduler_with_two_machines()
     cluster_view.team_limits["red"] = TeamLimits("red")
     accept(cache, entries=2000, vcpus=4.0, ram_gb=1.0, rank="urgent")
     requests = ScalingPolicy(cluster_view).scale_out_requests(0.0)
     offers = [(request.type, request.zone, request.spot) for request in requests]
     assert offers and len(offers) == len(set(offers))
-    cluster_view, _, cache, _ = scene()
+    cluster_view, _, cache, _ = scheduler_with_two_machines()
     accept(cache, entries=12, vcpus=4.0, ram_gb=1.0, rank="urgent")
     requested = ScalingPolicy(cluster_view).scale_out_requests(0.0)
     unwritten = {
@@ -221,7 +221,7 @@
         return cheapest_offer(*args)
 
     monkeypatch.setattr(scale_out, "cheapest_offer", counted)
-    cluster_view, _, cache, _ = scene()
+    cluster_view, _, cache, _ = scheduler_with_two_machines()
     cluster_view.team_limits["red"] = TeamLimits("red")
     accept(cache, entries=8000, vcpus=2.0, ram_gb=1.0, rank="urgent")
     requested = ScalingPolicy(cluster_view).scale_out_requests(0.0)
@@ -243,7 +243,7 @@
     for module in (waiting_work, headroom, scale_out):
         monkeypatch.setattr(module, "pack", counted)
     for jobs in (20, 200):
-        cluster_view, _, cache, _ = scene()
+        cluster_view, _, cache, _ = scheduler_with_two_machines()
         cluster_view.team_limits = {}
         for number in range(150):
             observe_machine(cluster_view, f"vm-{number:06d}", "small", "north")
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -6,7 +6,7 @@
 import cbor2
 import pytest
 
-from helpers import LIMITS, accept, commit, scene, spec
+from helpers import LIMITS, accept, commit, scheduler_with_two_machines, spec
 from sandladder.jobs import SubmittedDependencies, archive_job, cancel, end, start, submit
 from sandladder.model import (
     SCHEMA_V2,
@@ -103,7 +103,7 @@
 
 def test_a_dependency_of_unknown_outcome_blocks_its_dependents() -> None:
     """After a restart, a finished dependency is not cached and must be read from the store."""
-    cluster_view, planner, cache, _ = scene()
+    cluster_view, planner, cache, _ = scheduler_with_two_machines()
     use_schema_v2(cache)
     dependent = submit_job(cache, 3, "job-000001", entries=1)
     assert cache.dependency_index.outcome(dependent) is DependencyOutcome.UNKNOWN
@@ -248,7 +248,7 @@
 def test_jobs_with_unfinished_dependencies_cause_no_scale_out() -> None:
     from sandladder.autoscaling import ScalingPolicy
 
-    cluster_view, planner, cache, _ = scene()
+    cluster_view, planner, cache, _ = scheduler_with_two_machines()
     use_schema_v2(cache)
     first = accept(cache, number=1, entries=1)
     submit_job(cache, 2, first.id, entries=40, rank="urgent")
--- a/tests/test_job_api.py
+++ b/tests/test_job_api.py
@@ -8,7 +8,7 @@
 import cbor2
 import pytest
 
-from helpers import LIMITS, accept, commit, scene
+from helpers import LIMITS, accept, commit, scheduler_with_two_machines
 from sandladder import clock
 from sandladder.api import (
     AdmissionCheck,
@@ -330,7 +330,7 @@
     """The services of the job API over a cache that is always up to date."""
 
     def __init__(self) -> None:
-        cluster_view, self.planner, self.cache, _ = scene()
+        cluster_view, self.planner, self.cache, _ = scheduler_with_two_machines()
         self.peers = FakePeers(None)
         self.committer = FakeCommitter(self.cache)
         self.reachable = True
--- a/tests/test_job_commits.py
+++ b/tests/test_job_commits.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from helpers import LIMITS, accept, commit, scene
+from helpers import LIMITS, accept, commit, scheduler_with_two_machines
 from sandladder import clock
 from sandladder.concurrency import Signal
 from sandladder.config import AgentSettings
@@ -37,7 +37,7 @@
 
 
 def test_a_non_urgent_end_is_due_after_the_maximum_wait() -> None:
-    _, planner, cache, _ = scene()
+    _, planner, cache, _ = scheduler_with_two_machines()
     job = started_job(cache, 3, range(3))
     queue = EndQueue(planner, MAX_WAIT_S)
     assert not queue.add(ended(job, 0), now=10.0)
@@ -48,7 +48,7 @@
 
 
 def test_the_last_end_of_a_job_is_due_at_once_together_with_delayed_ends() -> None:
-    _, planner, cache, _ = scene()
+    _, planner, cache, _ = scheduler_with_two_machines()
     job = started_job(cache, 2, range(2))
     queue = EndQueue(planner, MAX_WAIT_S)
     assert not queue.add(ended(job, 0), now=10.0) and not queue.covers_all_live(job)
@@ -58,7 +58,7 @@
 
 @pytest.mark.parametrize("outcome", [o for o in AttemptOutcome if o != AttemptOutcome.DONE])
 def test_an_end_that_requires_a_restart_is_due_at_once(outcome: AttemptOutcome) -> None:
-    _, planner, cache, _ = scene()
+    _, planner, cache, _ = scheduler_with_two_machines()
     job = started_job(cache, 3, range(3))
     queue = EndQueue(planner, MAX_WAIT_S)
     assert queue.add(ended(job, 0, outcome), now=10.0)
@@ -67,7 +67,7 @@
 
 
 def test_a_repeated_end_is_queued_once_with_its_original_due_time() -> None:
-    _, planner, cache, _ = scene()
+    _, planner, cache, _ = scheduler_with_two_machines()
     job = started_job(cache, 3, range(3))
     queue = EndQueue(planner, MAX_WAIT_S)
     for now in (10.0, 12.0, 13.0):
@@ -76,7 +76,7 @@
 
 
 def test_only_starts_whose_premises_hold_are_released() -> None:
-    cluster_view, planner, cache, _ = scene()
+    cluster_view, planner, cache, _ = scheduler_with_two_machines()
     job = accept(cache, entries=2)
     queue = StartQueue(cluster_view)
     pending_starts = planner.plan([job], {})
@@ -89,7 +89,7 @@
 
 
 def test_pop_returns_starts_that_were_neither_committed_nor_withdrawn() -> None:
-    cluster_view, planner, cache, _ = scene()
+    cluster_view, planner, cache, _ = scheduler_with_two_machines()
     job = accept(cache, entries=3)
     queue = StartQueue(cluster_view)
     first, second, third = planner.plan([job], {})
@@ -100,7 +100,7 @@
 
 
 def test_backoff_doubles_with_each_failed_machine_up_to_two_leases() -> None:
-    cluster_view, planner, cache, _ = scene()
+    cluster_view, planner, cache, _ = scheduler_with_two_machines()
     job = started_job(cache, 1, range(1))
     backoff = JobBackoff(planner, WORKERS)
     cluster_view.now = 100.0
@@ -118,7 +118,7 @@
 
 
 def test_a_refused_start_excludes_the_machine_without_extending_the_backoff() -> None:
-    cluster_view, planner, cache, _ = scene()
+    cluster_view, planner, cache, _ = scheduler_with_two_machines()
     job = started_job(cache, 1, range(1))
     backoff = JobBackoff(planner, WORKERS)
     for _ in range(5):
@@ -129,7 +129,7 @@
 
 
 def test_a_stopped_attempt_causes_no_backoff() -> None:
-    _, planner, cache, _ = scene()
+    _, planner, cache, _ = scheduler_with_two_machines()
     job = started_job(cache, 1, range(1))
     backoff = JobBackoff(planner, WORKERS)
     backoff.record_end(ended(job, 0, AttemptOutcome.STOPPED))
@@ -166,7 +166,7 @@
     def __init__(self, monkeypatch: pytest.MonkeyPatch, assigned_to: str) -> None:
         self.now = 10.0
         monkeypatch.setattr(clock, "now", lambda: self.now)
-        self.cluster_view, _, cache, _ = scene()
+        self.cluster_view, _, cache, _ = scheduler_with_two_machines()
         self.job = started_job(cache, 3, range(3))
         self.peers = FakePeers(assigned_to)
         self.committed: list[int] = []
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from helpers import accept, commit, scene
+from helpers import accept, commit, scheduler_with_two_machines
 from sandladder.autoscaling import ScalingPolicy
 from sandladder.config import TeamLimits
 from sandladder.jobs import end
@@ -24,7 +24,7 @@
 
 
 def test_capacity_of_an_attempt_is_free_between_its_proved_end_and_the_commit() -> None:
-    cluster_view, _, cache, _ = scene()
+    cluster_view, _, cache, _ = scheduler_with_two_machines()
     job = commit_starts(cluster_view, accept(cache, entries=2), "vm-1")
     before_end = cluster_view.free_capacity("vm-1")
     ended = EndedAttempt(job.id, 0, job.live[0], "done")
@@ -46,7 +46,7 @@
 
 
 def test_tasks_are_spread_over_zones_or_placed_in_one_zone() -> None:
-    _, planner, cache, _ = scene()
+    _, planner, cache, _ = scheduler_with_two_machines()
     spread = accept(cache, number=1, entries=4, apart=True)
     assert sorted(zones_of(planner.plan([spread], {}))) == ["north", "north", "south", "south"]
     together = accept(cache, number=2, entries=5, same_place=True, form="group")
@@ -54,7 +54,7 @@
 
 
 def test_a_machine_that_refused_a_start_gets_no_work_for_a_while() -> None:
-    cluster_view, planner, cache, _ = scene()
+    cluster_view, planner, cache, _ = scheduler_with_two_machines()
     cluster_view.avoid_machine("vm-2", 2.0)
     job = accept(cache, entries=8)
     assert machines_of(planner.plan([job], {})) == {"vm-1"}
@@ -64,7 +64,7 @@
 
 def test_scale_out_counts_only_zones_that_may_take_more_replicas() -> None:
     """Guards against counting idle capacity in a full zone and renting nothing elsewhere."""
-    cluster_view, _, cache, _ = scene()
+    cluster_view, _, cache, _ = scheduler_with_two_machines()
     service = accept(
         cache, number=9, entries=3, form="service", apart=True, loaners=False, vcpus=4.0
     )
@@ -79,7 +79,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against a cost per waiting task of a large array in each planning round."""
-    cluster_view, planner, cache, _ = scene(value_kb=16.0)
+    cluster_view, planner, cache, _ = scheduler_with_two_machines(value_kb=16.0)
     monkeypatch.setitem(cluster_view.team_limits, "red", TeamLimits("red"))
     large_array = accept(cache, entries=2000, vcpus=1.0, ram_gb=0.1)
     listed = 0
@@ -112,7 +112,7 @@
 
     monkeypatch.setattr(ClusterView, "fetch_s", counting_fetch_s)
     for size in (300, 1200):
-        cluster_view, planner, cache, reconciler = scene(value_kb=16.0)
+        cluster_view, planner, cache, reconciler = scheduler_with_two_machines(value_kb=16.0)
         cluster_view.team_limits["red"] = TeamLimits("red")
         for number in range(size):
             name = f"vm-{1000 + number}"
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -3,7 +3,7 @@
 from collections import Counter
 from typing import Any
 
-from helpers import accept, scene
+from helpers import accept, scheduler_with_two_machines
 from sandladder.model import Machine, MachineStatus
 from sandladder.scheduling import (
     MachineDeparture,
@@ -15,7 +15,7 @@
 
 
 def test_replicas_are_evicted_from_a_draining_machine_but_not_from_a_silent_one() -> None:
-    cluster_view, planner, cache, _ = scene()
+    cluster_view, planner, cache, _ = scheduler_with_two_machines()
     service = accept(cache, entries=2, form="service", rank="prod", loaners=False)
     service = commit_starts(cluster_view, service, "vm-1", "vm-1")
     cache.instances["vm-1"] = Machine("small", "north", False, "draining", 0.0)
@@ -31,7 +31,7 @@
 
 def test_a_victim_is_chosen_only_once_while_its_stop_waits_for_the_commit() -> None:
     """Guards against repeated stops of the same task while the store is slow."""
-    cluster_view, planner, cache, _ = scene()
+    cluster_view, planner, cache, _ = scheduler_with_two_machines()
     planner.selector.start_within_s["web"] = 1.0
     filler = accept(cache, number=1, entries=10, vcpus=2.0, ram_gb=1.0, rank="normal")
     commit_starts(cluster_view, filler, *["vm-1"] * 2, *["vm-2"] * 8)
--- a/tests/test_premises.py
+++ b/tests/test_premises.py
@@ -1,13 +1,13 @@
 """The gate: selective revalidation, and the outcomes of failed and unverifiable premises."""
 
-from helpers import accept, scene, spec
+from helpers import accept, scheduler_with_two_machines, spec
 from sandladder.model import Placement
 from sandladder.scheduling import Outcome, PendingStart, PremiseKind
 from scheduling_scenes import commit_placements
 
 
 def test_a_change_rechecks_only_affected_premises_and_the_worst_outcome_applies() -> None:
-    cluster_view, planner, cache, _ = scene()
+    cluster_view, planner, cache, _ = scheduler_with_two_machines()
     job = accept(cache, entries=3)
     pending_starts = planner.plan([job], {})
     assert len(pending_starts) == 3
@@ -30,7 +30,7 @@
 
 
 def test_a_start_with_an_unverifiable_premise_is_blocked() -> None:
-    cluster_view, planner, cache, _ = scene()
+    cluster_view, planner, cache, _ = scheduler_with_two_machines()
     pending_start = planner.plan([accept(cache, entries=1)], {})[0]
     cluster_view.now = 1000.0
     cluster_view.forget_missing()
@@ -42,7 +42,7 @@
 
 
 def test_a_changed_reporting_controller_only_refreshes_a_start() -> None:
-    cluster_view, planner, cache, _ = scene()
+    cluster_view, planner, cache, _ = scheduler_with_two_machines()
     pending_start = planner.plan([accept(cache, entries=1)], {})[0]
     pending_start.reporting_controller = "node-7"
     cluster_view.machine_changed(pending_start.placement.machine)
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -6,7 +6,7 @@
 import pytest
 
 import production
-from helpers import commit, scene, spec
+from helpers import commit, scheduler_with_two_machines, spec
 from sandladder.config import TeamLimits
 from sandladder.jobs import rejection_reason, start, submit
 from sandladder.model import NO_HEADROOM, Placement, TeamUsage, headroom, within_guarantee
@@ -67,7 +67,7 @@
 @pytest.mark.parametrize("limits", [GPUS_ONLY, NO_LIMITS])
 def test_jobs_of_a_team_without_a_cpu_limit_are_accepted_and_start(limits: TeamLimits) -> None:
     """Guards against the rejection of every submission of a team with a GPU limit only."""
-    _, _, cache, _ = scene()
+    _, _, cache, _ = scheduler_with_two_machines()
     team_limits = {"red": limits}
     small = spec(1, entries=2, vcpus=2.0)
     assert rejection_reason(small, cache.machine_types, team_limits) is None
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -6,7 +6,7 @@
 import msgspec
 import pytest
 
-from helpers import LIMITS, accept, commit, inventory, scene, spec
+from helpers import LIMITS, accept, commit, inventory, scheduler_with_two_machines, spec
 from sandladder.jobs import end, start, submit
 from sandladder.model import (
     SCHEMA_V1,
@@ -139,7 +139,7 @@
     value_kb: float, schema_version: int
 ) -> None:
     """The longest record: each task on a machine of its own, and every other task done."""
-    _, planner, cache, _ = scene(value_kb)
+    _, planner, cache, _ = scheduler_with_two_machines(value_kb)
     cache.schema_version = schema_version
     limits = planner.store_limits
     job = Job(spec(entries=100_000), 1e9)
--- a/tests/test_reservation.py
+++ b/tests/test_reservation.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from helpers import accept, scene
+from helpers import accept, scheduler_with_two_machines
 from sandladder.config import TeamLimits
 from sandladder.model import JobSpec
 from sandladder.scheduling import Reservation
@@ -22,7 +22,7 @@
 
 def test_an_aged_gang_reserves_machines_that_urgent_jobs_may_still_use() -> None:
     """Without a reservation, small jobs take each piece of freed capacity, and the gang starves."""
-    cluster_view, planner, cache, _ = scene()
+    cluster_view, planner, cache, _ = scheduler_with_two_machines()
     filler = accept(cache, number=1, entries=4, **LARGE)
     commit_starts(cluster_view, filler, *["vm-2"] * 4)
     gang = accept(cache, number=2, entries=7, form="group", **LARGE)
@@ -62,7 +62,7 @@
 def test_a_job_that_fits_nowhere_or_exceeds_its_team_limit_reserves_no_machines(
     fields: dict[str, Any],
 ) -> None:
-    cluster_view, planner, cache, _ = scene()
+    cluster_view, planner, cache, _ = scheduler_with_two_machines()
     cluster_view.team_limits["blue"] = TeamLimits("blue", 4.0, 8.0, 0.0, 0.0)
     gang = accept(cache, number=2, form="group", ram_gb=1.0, **fields)
     cluster_view.now = 1000.0
@@ -84,7 +84,7 @@
         return find_slots(self, spec)
 
     monkeypatch.setattr(Reservation, "_find_slots", counting_find_slots)
-    cluster_view, planner, cache, _ = scene()
+    cluster_view, planner, cache, _ = scheduler_with_two_machines()
     too_wide: dict[str, Any] = {"entries": 20, "vcpus": 2.0, "ram_gb": 1.0, "form": "group"}
     gangs = [accept(cache, number=number, **too_wide) for number in range(5)]
     report_s = cluster_view.settings.platform.deployment.workers.report_s
@@ -101,7 +101,7 @@
 
 def test_each_urgent_gang_reserves_machines_immediately() -> None:
     """Without reservations, arrays take each freed GPU, and gangs that need whole machines starve."""
-    cluster_view, planner, cache, _ = scene()
+    cluster_view, planner, cache, _ = scheduler_with_two_machines()
     whole_machine: dict[str, Any] = {"vcpus": 4.0, "ram_gb": 1.0, "form": "group", "entries": 1}
     filler = accept(cache, number=1, entries=20, vcpus=1.0, ram_gb=1.0)
     filler = commit_starts(cluster_view, filler, "vm-1", *["vm-2"] * 14)
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -4,7 +4,7 @@
 from random import Random
 from typing import Any
 
-from helpers import LIMITS, accept, commit, scene
+from helpers import LIMITS, accept, commit, scheduler_with_two_machines
 from sandladder.jobs import start
 from sandladder.model import AgentHeartbeat, EndedAttempt, Machine, Placement
 from sandladder.scheduling import ClusterView
@@ -30,7 +30,7 @@
 
 def test_a_heartbeat_recomputes_the_free_capacity_of_one_machine_only() -> None:
     for machines in (100, 300, 600):
-        cluster_view, _, _, _ = scene()
+        cluster_view, _, _, _ = scheduler_with_two_machines()
         for number in range(machines):
             record_heartbeat(cluster_view, heartbeat(number, 1))
         before = cluster_view.usable_free_capacities()
@@ -47,7 +47,7 @@
     """Compares them after random heartbeats, refusals, drains, starts, ends and time steps."""
     for seed in range(40):
         rng = Random(seed)
-        cluster_view, _, cache, _ = scene()
+        cluster_view, _, cache, _ = scheduler_with_two_machines()
         job = accept(cache, entries=60, vcpus=0.5, ram_gb=0.5)
         for step in range(120):
             cluster_view.now += rng.choice([0.0, 0.1, 1.0, 4.0])
