--- a/tests/simulation/cluster.py
+++ b/tests/simulation/cluster.py
@@ -98,15 +98,15 @@
         """Let users read or cancel a job whose last task has ended on its machine."""
         self.users.read_concurrently(job_id, "ended")
         if self.cancel_at_end_share and self.rng.random() < self.cancel_at_end_share:
-            self.observed["cancelled at its end"] += 1
+            self.observed["cancelled at completion"] += 1
             self.users.cancel_persistently(job_id)
 
     def replay_kept_heartbeats(self) -> None:
         """Deliver the kept copies of heartbeats to every controller."""
         kept, self.kept_heartbeats = self.kept_heartbeats, []
         for machine, epoch, request in kept:
-            self.observed["old heartbeat at every controller"] += len(self.nodes) == self.count
-            self.observed["of an earlier epoch"] += machine.epoch > epoch
+            self.observed["replayed heartbeat at every controller"] += len(self.nodes) == self.count
+            self.observed["replayed heartbeat of an earlier epoch"] += machine.epoch > epoch
             for node in self.nodes:
                 self.network.start(functools.partial(self._replay, machine.name, node, request))
 
--- a/tests/simulation/fault_scenarios.py
+++ b/tests/simulation/fault_scenarios.py
@@ -163,7 +163,7 @@
         hosts = {m.name: m for m, name in tasks if name.partition("/")[0] in to_cancel}
         for machine in list(hosts.values())[:_MAX_HUNG_MACHINES]:
             machine.hung_until = now() + hang_s
-            cluster.observed["hung with cancelled work"] += 1
+            cluster.observed["hung with cancelled tasks"] += 1
 
     async def cancel(job_id: str) -> None:
         await anyio.sleep(cluster.rng.uniform(0.0, 0.2))
--- a/tests/simulation/store.py
+++ b/tests/simulation/store.py
@@ -117,7 +117,7 @@
             return
         status, _ = self._commit(body)
         if status == 200:
-            self._shared.observed["answer lost"] += 1
+            self._shared.observed["transaction response lost"] += 1
             watcher = functools.partial(self._watch_lost_response, source, self.revision)
             self._shared.network.start(watcher)
 
@@ -128,7 +128,7 @@
         await anyio.sleep(_READ_BY_OTHERS_S)
         others = [node for name, node in self._shared.nodes.items() if name != writer]
         was_read = any(node.cache.revision >= revision for node in others)
-        self._shared.observed["read by others while its writer did not know"] += was_read
+        self._shared.observed["change read by others after its response was lost"] += was_read
 
     async def _apply_late(self, body: Any) -> None:
         """Apply a transaction after its sender timed out."""
@@ -137,7 +137,7 @@
             await anyio.sleep(0.5)
         self._expire_leases()
         status, _ = self._commit(body)
-        self._shared.observed["late write " + ("taken" if status == 200 else "refused")] += 1
+        self._shared.observed["late write " + ("applied" if status == 200 else "refused")] += 1
 
     # Requests
 
--- a/tests/simulation/users.py
+++ b/tests/simulation/users.py
@@ -117,7 +117,7 @@
         shared = self._shared
         if not shared.concurrent_read_share or shared.rng.random() >= shared.concurrent_read_share:
             return
-        shared.observed[f"looked at when {event}"] += 1
+        shared.observed[f"read concurrently when {event}"] += 1
         for node in range(shared.count):
             for request in (self.poll(job_id, node), self.submit_once(shared.specs[job_id], node)):
                 shared.network.start(functools.partial(self._send_after_random_delay, request))
--- a/tests/test_combined_faults.py
+++ b/tests/test_combined_faults.py
@@ -207,7 +207,7 @@
             worker.terminate(cluster.rng.random() < 0.5)
         await anyio.sleep(cluster.rng.uniform(4.0, 8.0))
         young = [w for w in running_machines(cluster) if w.tasks and now() - w.boots_at < 8.0]
-        cluster.observed["work on machines just up"] += len(young)
+        cluster.observed["tasks on recently booted machines"] += len(young)
         await restart(cluster, leader(cluster), cluster.rng.uniform(0.3, 2.0))
     cluster.cloud.fast_boot_share = 0.0
 
@@ -241,13 +241,13 @@
     all_controllers_restart: ("all ended",),
     leader_partitioned: ("work reported to the leader",),
     commands_delayed: ("late command",),
-    store_responses_lost: ("read by others while its writer did not know",),
+    store_responses_lost: ("change read by others after its response was lost",),
     heartbeats_lost: ("heartbeat lost",),
-    replayed_heartbeats: ("old heartbeat at every controller",),
-    cancelled_on_hanging_machines: ("hung with cancelled work",),
-    concurrent_reads: ("looked at when accepted", "looked at when done"),
-    cancelled_at_completion: ("cancelled at its end",),
-    machines_replaced_at_once: ("work on machines just up",),
+    replayed_heartbeats: ("replayed heartbeat at every controller",),
+    cancelled_on_hanging_machines: ("hung with cancelled tasks",),
+    concurrent_reads: ("read concurrently when accepted", "read concurrently when done"),
+    cancelled_at_completion: ("cancelled at completion",),
+    machines_replaced_at_once: ("tasks on recently booted machines",),
     zone_partitioned: ("work in a cut zone",),
 }
 
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -167,7 +167,7 @@
     cluster = SimulatedCluster(800 + list(KINDS).index(kind), cancel_s=CANCEL_S)
     run(cluster, lambda: run_with_faults(cluster, (applied_late(kind),), 14))
     assert cluster.violations == [], cluster.violations[:3]
-    applied = cluster.observed["late write taken"] + cluster.observed["late write refused"]
+    applied = cluster.observed["late write applied"] + cluster.observed["late write refused"]
     assert applied, (kind, cluster.observed)
 
 
@@ -179,7 +179,7 @@
     run_and_expect(
         cluster,
         lambda: run_with_faults(cluster, (response_lost(kind, fate),), 14),
-        "answer lost",
-        "read by others while its writer did not know",
+        "transaction response lost",
+        "change read by others after its response was lost",
         fate,
     )
--- a/tests/test_leaders.py
+++ b/tests/test_leaders.py
@@ -138,8 +138,8 @@
     run_and_expect(
         cluster,
         lambda: run_with_faults(cluster, (scenario,), 14),
-        "old heartbeat at every controller",
-        "of an earlier epoch",
+        "replayed heartbeat at every controller",
+        "replayed heartbeat of an earlier epoch",
         "of a task that has ended",
     )
 
--- a/tests/test_read_consistency.py
+++ b/tests/test_read_consistency.py
@@ -81,7 +81,7 @@
     run_and_expect(
         cluster,
         lambda: run_with_faults(cluster, (scenario,), 20),
-        *(f"looked at when {event}" for event in events),
+        *(f"read concurrently when {event}" for event in events),
     )
 
 
@@ -111,7 +111,7 @@
         for state in set(cluster.answers.final_states.values()):
             cluster.observed[f"was {state} at the end"] += 1
 
-    observations = ("cancelled at its end", "looked at when ended")
+    observations = ("cancelled at completion", "read concurrently when ended")
     run_and_expect(cluster, main, *observations, "was done at the end", "was cancelled at the end")
 
 
@@ -140,7 +140,7 @@
     run_and_expect(
         cluster,
         main,
-        "cancelled at its end",
+        "cancelled at completion",
         "followed a cancelled job",
         "followed jobs that are done",
     )
@@ -163,7 +163,7 @@
             assert await cluster.cancel(job_id) == "cancelled"
         await check_recovery(cluster, ids)
 
-    run_and_expect(cluster, main, "looked at when cancelled")
+    run_and_expect(cluster, main, "read concurrently when cancelled")
 
 
 # Changes that make a submission malformed (400), and ones that make it never runnable (422).
