--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,8 +1,8 @@
-"""`KNOWN-RED.txt` at the root: tests that fail for a real fault which is not mended yet.
+"""Support for `KNOWN-RED.txt` at the root, which lists tests that fail due to a known fault.
 
-A line each, `test id | cause | issue`, three at most.  A listed test runs; its failure is printed and
-passed over, its passing fails the run until the line is taken out.  So do a fourth line, a line of
-another shape, and a test id that does not exist.
+Each line is `test id | cause | issue`; there are at most three.  A listed test is run as a strict
+xfail: its failure is printed and ignored, its success fails the run until the line is removed.
+More lines, malformed lines and unknown test ids are usage errors.
 """
 
 from pathlib import Path
@@ -10,28 +10,28 @@
 import pytest
 
 FILE = "KNOWN-RED.txt"
-MOST = 3
+MAX_ENTRIES = 3
 
 
 def known_red(root: Path) -> dict[str, str]:
-    """The listed tests, each with its cause and issue."""
+    """Return the cause and issue of each listed test, by test id."""
     path = root / FILE
     text = path.read_text("utf-8") if path.exists() else ""
-    found: dict[str, str] = {}
+    entries: dict[str, str] = {}
     for line in filter(str.strip, text.splitlines()):
         parts = [part.strip() for part in line.split("|")]
-        if len(parts) != 3 or not all(parts) or parts[0] in found:
+        if len(parts) != 3 or not all(parts) or parts[0] in entries:
             raise pytest.UsageError(f"{FILE}: not `test id | cause | issue`, each once: {line}")
-        found[parts[0]] = f"{parts[1]} (issue {parts[2]})"
-    if len(found) > MOST:
-        raise pytest.UsageError(f"{FILE}: {len(found)} lines, {MOST} at most")
-    return found
+        entries[parts[0]] = f"{parts[1]} (issue {parts[2]})"
+    if len(entries) > MAX_ENTRIES:
+        raise pytest.UsageError(f"{FILE}: {len(entries)} lines, {MAX_ENTRIES} at most")
+    return entries
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
     listed = known_red(config.rootpath)
     unknown = listed.keys() - {item.nodeid for item in items}
-    # Where only some tests are asked for, the others are not known to be missing.
+    # A partial run does not collect all tests, so only a full run detects unknown ids.
     if unknown and config.args == config.getini("testpaths"):
         raise pytest.UsageError(f"{FILE}: no such test: {', '.join(sorted(unknown))}")
     for item in items:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""What the tests of the parts share: specs, a scheduler_with_two_machines with two machines, summaries."""
+"""Shared fixtures of the unit tests: submissions, a scheduler and machine inventories."""
 
 from random import Random
 
@@ -22,14 +22,16 @@
 
 
 def commit(cache: StateCache, transaction: Transaction) -> None:
-    """Apply a view as the state service would."""
+    """Apply a transaction to the cache as a successful commit does."""
     for key, version in transaction.expected_versions.items():
-        final = (
+        finished_job = (
             cache.finished_jobs.get(key.rpartition("/")[2])
             if key.startswith(FINISHED_JOB_PREFIX)
             else None
         )
-        assert version == (final.version if final and final.archived else cache.version(key))
+        assert version == (
+            finished_job.version if finished_job and finished_job.archived else cache.version(key)
+        )
     changes = [(key, value) for key, value, _ in transaction.changes()]
     cache.apply_own_commit(cache.revision + 1, changes)
     cache.apply(cache.revision + 1, [])
@@ -38,23 +40,25 @@
 def scheduler_with_two_machines(
     value_kb: float = 8.0,
 ) -> tuple[ClusterView, Planner, StateCache, Reconciler]:
-    """A controller's picture with two machines that report to it."""
+    """Return the scheduler of a controller to which two machines report."""
     cache, reconciler, gate = StateCache(), Reconciler(), Gate()
     for name in ("small", "large"):
         size = 4.0 if name == "small" else 16.0
         cache.machine_types[name] = MachineType(
             name, size, 0.0, 4 * size, 20.0, 1.0, 0.2, 0.1, 9.0, ("north", "south")
         )
-    loss = LeaseExpiryProof("node-0", ["node-0"], 12.0, 0.0)
-    known = settings(0, 1)
-    state = msgspec.structs.replace(known.platform.deployment.state, value_kb=value_kb)
-    deployment = msgspec.structs.replace(known.platform.deployment, state=state)
-    platform = msgspec.structs.replace(known.platform, deployment=deployment)
-    cluster_view = ClusterView(Settings(platform), cache, reconciler, loss, gate)
+    expiry_proof = LeaseExpiryProof("node-0", ["node-0"], 12.0, 0.0)
+    base_settings = settings(0, 1)
+    state = msgspec.structs.replace(base_settings.platform.deployment.state, value_kb=value_kb)
+    deployment = msgspec.structs.replace(base_settings.platform.deployment, state=state)
+    platform = msgspec.structs.replace(base_settings.platform, deployment=deployment)
+    cluster_view = ClusterView(Settings(platform), cache, reconciler, expiry_proof, gate)
     reconciler.adopt_fencing_token(1)
     for name, kind, zone in (("vm-1", "small", "north"), ("vm-2", "large", "south")):
-        report = AgentHeartbeat(name, f"{name}:1", kind, zone, False, 1, 1, 1, None, ())
-        cluster_view.record_heartbeat(reconciler.receive_heartbeat(report, 0.0, direct=False).agent)
+        heartbeat = AgentHeartbeat(name, f"{name}:1", kind, zone, False, 1, 1, 1, None, ())
+        cluster_view.record_heartbeat(
+            reconciler.receive_heartbeat(heartbeat, 0.0, direct=False).agent
+        )
     limits = StoreLimits(state, cache)
     return cluster_view, Planner(cluster_view, limits, Random(1)), cache, reconciler
 
@@ -66,12 +70,12 @@
     return cache.jobs[next(iter(transaction.jobs))]
 
 
-def inventory(machines: int, images: int = 4, part: str = "vm-") -> MachineInventory:
-    seen = {}
+def inventory(machines: int, images: int = 4, name_prefix: str = "vm-") -> MachineInventory:
+    statuses = {}
     for number in range(machines):
         names = tuple(f"img-{(number + i) % 31}" for i in range(images))
         odd = number % 9 == 0
-        seen[f"{part}{number:06d}"] = MachineStatus(
+        statuses[f"{name_prefix}{number:06d}"] = MachineStatus(
             "small" if number % 3 else "large",
             "north" if number % 2 else "south",
             bool(number % 5),
@@ -81,15 +85,15 @@
             number % 2 if odd else 0,
             names,
         )
-    return MachineInventory(7, 99.5, 1234567, seen)
+    return MachineInventory(7, 99.5, 1234567, statuses)
 
 
 def started_gang() -> tuple[StateCache, Planner, Job]:
     cluster_view, planner, cache, _ = scheduler_with_two_machines()
-    found = accept(cache, entries=3, form="group")
+    gang = accept(cache, entries=3, form="group")
     transaction = Transaction(cache)
-    start(transaction, found.id, [i.placement for i in planner.plan([found], {})], LIMITS)
+    start(transaction, gang.id, [i.placement for i in planner.plan([gang], {})], LIMITS)
     commit(cache, transaction)
     for pending_start in list(cluster_view.gate.pending.values()):
         cluster_view.gate.withdraw(pending_start)
-    return cache, planner, cache.jobs[found.id]
+    return cache, planner, cache.jobs[gang.id]
--- a/tests/plays.py
+++ b/tests/plays.py
@@ -1,10 +1,10 @@
-"""Seeded plays in the simulation, by name, for comparing two source trees.
+"""Seeded simulation runs ("plays"), by name, for comparing two source trees.
 
-`tools/same_plays.py` runs each in a process of its own, once for each tree.  What a play does may
-not change from one tree to the other, so an entry is never edited: it is replaced by a new name.
-Imports are made by each play, as the modules that it needs may be imported by no other.
+`tools/same_plays.py` runs each play in a separate process, once for each tree.  A play must do the
+same in both trees, so an entry is never changed; a changed play gets a new name.  Each play imports
+the test modules that it needs.
 
-    python plays.py NAME      (write the play's events to standard output, one a line)
+    python plays.py NAME      (write the play's events to standard output, one per line)
     python plays.py --list
 """
 
@@ -16,7 +16,7 @@
 
 Play = Callable[[], object]
 
-# The faults by the names that plays had first, and as `simulation.faults` calls them.
+# Faults of a cluster: the name in plays, and the function in `simulation.faults`.
 FAULTS_OF_A_CLUSTER = {
     "quiet": "no_fault",
     "crashes": "controller_crashes",
@@ -32,7 +32,7 @@
 GROWN_FAULTS = ("cut_zone", "wave", "slow_store")
 PIPELINE_FAULTS = ("crashes", "outage", "everything")
 UPGRADE_FAULTS = ("quiet", "crashes", "cuts", "everything")
-# The faults of one controller by the names that plays had first, and as `test_faults` calls them.
+# Faults of one controller: the name in plays, and the function in `test_faults`.
 FAULTS_OF_A_CONTROLLER = {
     "ends": "controller_crashes",
     "stands_still_past_a_lease": "controller_freezes_past_agent_lease",
@@ -47,7 +47,7 @@
     "all_roll": "rolling_restart",
     "flaps": "controller_flaps",
 }
-# Faults of one controller, each with how slowly the store answers meanwhile, in seconds.
+# Faults of one controller, each with the mean delay of the store, in seconds.
 FAULTS = (
     ("ends", 0.0),
     ("stands_still_past_a_lease", 0.0),
@@ -62,9 +62,9 @@
     ("all_roll", 0.0),
     ("flaps", 0.15),
 )
-# The scenarios by the names that plays had first, and as `test_combined_faults` calls them.
+# Scenarios: the name in plays, and the function in `test_combined_faults`.
 SCENARIOS = {
-    "ends_far_apart": "leaders_end_with_uncommitted_ends",
+    "ends_far_apart": "leaders_crash_with_uncommitted_task_ends",
     "old_reports": "delayed_heartbeats",
     "slow_then_refusing": "slow_store_then_outage",
     "deaf_machines": "responses_lost",
@@ -90,7 +90,7 @@
 )
 CANCELLED_IN_AN_OUTAGE = 4
 HANDOVERS = 4
-# Kinds of transactions and fates of the writer, as `test_late_writes` calls them.
+# Transaction kinds and faults of the writer: the name in plays, and in `test_late_writes`.
 KINDS = {
     "filing": "archive",
     "fleet": "instances",
@@ -121,7 +121,7 @@
 def _grown(seed: int, fault: str) -> None:
     import test_random_faults
 
-    test_random_faults.play_grown(seed, _fault_of_a_cluster(fault))
+    test_random_faults.play_large_cluster(seed, _fault_of_a_cluster(fault))
 
 
 def _pipelines(seed: int, fault: str) -> None:
@@ -240,7 +240,7 @@
 
 
 def _plays() -> dict[str, Play]:
-    """All plays by name, the longest first."""
+    """Return all plays by name, the longest first."""
     found: dict[str, Play] = {}
 
     def add(name: str, play: Callable[..., object], *arguments: object) -> None:
@@ -283,7 +283,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run one play, its events on standard output, or list the names."""
+    """Run one play and print its events, or list the names."""
     plays = _plays()
     if arguments == ["--list"]:
         print("\n".join(plays))
--- a/tests/production.py
+++ b/tests/production.py
@@ -1,4 +1,4 @@
-"""The version in production, from the repository's own history, to run beside today's."""
+"""The version in production, loaded from the git history alongside the working tree's version."""
 
 import functools
 import importlib
@@ -26,40 +26,40 @@
 
 
 def commit() -> str:
-    """The commit that runs in production."""
+    """Return the commit that runs in production."""
     deploy = tomllib.loads((ROOT / "deploy" / "service.toml").read_text("utf-8"))
     return str(deploy["production"])
 
 
 @functools.cache
 def unavailable_reason() -> str | None:
-    """Why the code in production cannot be had here, or None."""
+    """Return why the version in production is unavailable, or None if it is available."""
     try:
         _git("cat-file", "-e", f"{commit()}^{{commit}}")
     except (OSError, subprocess.CalledProcessError):
-        return "the history here does not reach back to the version in production"
+        return "the git history does not contain the version in production"
     return None
 
 
 @functools.cache
 def load() -> Version:
-    """Its modules, imported beside today's under their own roof."""
+    """Import the modules of the version in production, without replacing the current ones."""
     scratch = Path(tempfile.mkdtemp(prefix="sandladder-production-"))
     with tarfile.open(fileobj=io.BytesIO(_git("archive", commit(), "src/sandladder"))) as archive:
         archive.extractall(scratch, filter="data")
-    today = _taken()
+    current_modules = _pop_package_modules()
     sys.path.insert(0, str(scratch / "src"))
     try:
-        found = {name: importlib.import_module(f"sandladder.{name}") for name in _MODULES}
+        modules = {name: importlib.import_module(f"sandladder.{name}") for name in _MODULES}
     finally:
-        _taken()
-        sys.modules.update(today)
+        _pop_package_modules()
+        sys.modules.update(current_modules)
         sys.path.remove(str(scratch / "src"))
-    assert all(str(scratch) in str(module.__file__) for module in found.values())
-    return Version(**found)
+    assert all(str(scratch) in str(module.__file__) for module in modules.values())
+    return Version(**modules)
 
 
-def _taken() -> dict[str, ModuleType]:
-    """The package's modules, taken out of those imported."""
+def _pop_package_modules() -> dict[str, ModuleType]:
+    """Remove the package's modules from `sys.modules`, and return them."""
     names = [n for n in sys.modules if n == "sandladder" or n.startswith("sandladder.")]
     return {name: sys.modules.pop(name) for name in names}
--- a/tests/simulation/faults.py
+++ b/tests/simulation/faults.py
@@ -1,7 +1,7 @@
 """Faults of a whole simulated cluster, drawn from its random generator.
 
-A fault is a routine that injects a fault and ends it, except for network cuts, which the caller must
-heal.  Faults of single machines, of the store and of the network are attributes of these
+A fault is a routine that injects a fault and ends it, except for network cuts, which the caller
+must heal.  Faults of single machines, of the store and of the network are attributes of these
 (`Machine.hung_until`, `Store.refused_sources`, `Network.one_way` and others).
 """
 
@@ -147,7 +147,7 @@
 
 
 async def slow_store(cluster: SimulatedCluster) -> None:
-    """Slow down the store, then make it refuse all requests for longer than a controller's lease."""
+    """Slow down the store, then stop it for longer than a controller's lease."""
     await anyio.sleep(6.0)
     cluster.store.mean_delay_s = 0.3
     await anyio.sleep(15.0)
--- a/tests/simulation/rules.py
+++ b/tests/simulation/rules.py
@@ -2,8 +2,8 @@
 
 The rules are those of the protocol's page ("Rules").  Two are checked elsewhere: `forgotten` and
 part of `went_back` by `AnswerHistory`, `nothing_ran` by the tests, which count the starts.
-`too_early`, `orphaned`, `started_cancelled`, `accepted_bad` and `mixed_up` are not in that list, but
-follow from the protocol.
+`too_early`, `orphaned`, `started_cancelled`, `accepted_bad` and `mixed_up` are not in that list,
+but follow from the protocol.
 """
 
 from collections import Counter
--- a/tests/test_combined_faults.py
+++ b/tests/test_combined_faults.py
@@ -1,6 +1,6 @@
-"""Faults that coincide: each scenario is brought about, shown to have been, and breaks no rule.
+"""Concurrent faults: each scenario must occur, as its observations show, and violate no rule.
 
-`docs/combined-faults.md` says of each what could go wrong and which guard prevents it.
+`docs/combined-faults.md` describes the risk of each scenario and the guard against it.
 """
 
 import anyio
@@ -17,8 +17,8 @@
 from simulation.faults import random_machines, restart, running_machines
 
 
-async def leaders_end_with_uncommitted_ends(cluster: SimulatedCluster) -> None:
-    """Leaders end one after the other while tasks of a job end, before proved ends are committed."""
+async def leaders_crash_with_uncommitted_task_ends(cluster: SimulatedCluster) -> None:
+    """Restart leaders one after another while the ends of tasks are proved but not committed."""
     for _ in range(3):
         await anyio.sleep(cluster.rng.uniform(4.0, 8.0))
         index = leader(cluster)
@@ -36,7 +36,7 @@
 
 
 async def delayed_heartbeats(cluster: SimulatedCluster) -> None:
-    """Copies of heartbeats arrive up to well over a lease later, while workers change controllers."""
+    """Deliver copies of heartbeats up to 1.5 leases late, while workers change controllers."""
     cluster.duplicated_heartbeat_share = 0.5
     for _ in range(4):
         await anyio.sleep(cluster.rng.uniform(3.0, 6.0))
@@ -58,7 +58,7 @@
 
 
 async def slow_store_then_outage(cluster: SimulatedCluster) -> None:
-    """The store answers slowly, refuses the leader, then everybody for longer than `cancel_s`."""
+    """Slow down the store; it refuses the leader, then all clients for longer than `cancel_s`."""
     cluster.store.mean_delay_s = 0.4
     await anyio.sleep(6.0)
     cluster.store.refused_sources = {f"node-{leader(cluster)}"}
@@ -72,7 +72,7 @@
 
 
 async def responses_lost(cluster: SimulatedCluster) -> None:
-    """A leader ends while workers with long tasks get no response, or are unreachable."""
+    """Restart the leader while workers get no responses or are unreachable."""
     for _ in range(2):
         await anyio.sleep(cluster.rng.uniform(4.0, 8.0))
         index = leader(cluster)
@@ -90,7 +90,7 @@
 
 
 async def late_transactions(cluster: SimulatedCluster) -> None:
-    """Transactions get no response and are applied after newer ones, also of an ended process."""
+    """Apply transactions late and without a response, also after the writer has crashed."""
     cluster.store.unanswered.share = 0.25
     for _ in range(3):
         await anyio.sleep(cluster.rng.uniform(4.0, 8.0))
@@ -100,16 +100,16 @@
 
 
 async def all_controllers_restart(cluster: SimulatedCluster) -> None:
-    """Controllers restart in turn, then all end, and one returns within a second."""
+    """Restart the controllers in turn, then crash all, and start one within a second."""
     for index in range(cluster.count):
         await restart(cluster, index, cluster.rng.uniform(0.2, 3.0))
         await anyio.sleep(cluster.rng.uniform(0.5, 4.0))
     for index in range(cluster.count):
         cluster.crash(index)
     cluster.observed["all ended"] += not cluster.nodes
-    first = cluster.rng.randrange(cluster.count)
+    first_to_start = cluster.rng.randrange(cluster.count)
     await anyio.sleep(cluster.rng.uniform(0.1, 0.9))
-    cluster.boot(first)
+    cluster.boot(first_to_start)
     await anyio.sleep(cluster.rng.uniform(1.0, 6.0))
     for index in range(cluster.count):
         cluster.boot(index)
@@ -117,7 +117,7 @@
 
 
 async def leader_partitioned(cluster: SimulatedCluster) -> None:
-    """A leader loses the store and the other controllers, not its workers and users."""
+    """Partition the leader from the store and its peers, but not from workers and users."""
     index = leader(cluster)
     for other in ["state", *(f"node-{i}" for i in range(cluster.count) if i != index)]:
         cluster.network.cut(f"node-{index}", other, cluster.rng.choice(["hold", "drop"]))
@@ -132,7 +132,7 @@
 
 
 async def commands_delayed(cluster: SimulatedCluster) -> None:
-    """Commands and responses are delayed by seconds; machines hang within their lease and go on."""
+    """Delay commands and responses by seconds; machines hang, and resume within their lease."""
     for _ in range(5):
         await anyio.sleep(cluster.rng.uniform(2.0, 5.0))
         index = leader(cluster)
@@ -145,7 +145,7 @@
 
 
 async def store_responses_lost(cluster: SimulatedCluster) -> None:
-    """Transactions are applied at once and only their responses are lost, while leaders end."""
+    """Apply transactions immediately but lose their responses, while leaders restart."""
     cluster.store.unanswered.share, cluster.store.unanswered.at_once = 0.25, True
     for _ in range(3):
         await anyio.sleep(cluster.rng.uniform(3.0, 6.0))
@@ -154,7 +154,7 @@
 
 
 async def heartbeats_lost(cluster: SimulatedCluster) -> None:
-    """Half of the workers reach no controller while jobs that run there are cancelled."""
+    """Lose the heartbeats of half of the workers while running jobs are cancelled."""
     for _ in range(2):
         await anyio.sleep(cluster.rng.uniform(3.0, 6.0))
         for worker in random_machines(cluster, 2):
@@ -165,7 +165,7 @@
 
 
 async def replayed_heartbeats(cluster: SimulatedCluster) -> None:
-    """Old heartbeats reach every controller just as a new leader begins."""
+    """Deliver old heartbeats to every controller just after a leader change."""
     for _ in range(3):
         cluster.kept_heartbeat_share = 0.4
         await anyio.sleep(cluster.rng.uniform(3.0, 6.0))
@@ -177,7 +177,7 @@
 
 
 async def cancelled_on_hanging_machines(cluster: SimulatedCluster) -> None:
-    """Jobs are cancelled, their machines hang, some within their lease, and the leader ends."""
+    """Cancel jobs, let their machines hang, some within their lease, and restart the leader."""
     for _ in range(3):
         await anyio.sleep(cluster.rng.uniform(3.0, 6.0))
         await cancel_running_jobs(cluster, 3, cluster.rng.uniform(4.0, LEASE_S + 4.0))
@@ -186,36 +186,38 @@
 
 
 async def concurrent_reads(cluster: SimulatedCluster) -> None:
-    """Users read at all controllers at once what is accepted, ends or is cancelled."""
+    """Read jobs at all controllers concurrently as they are accepted, complete or are cancelled."""
     cluster.concurrent_read_share = 0.7
     await anyio.sleep(25.0)
     cluster.concurrent_read_share = 0.0
 
 
 async def cancelled_at_completion(cluster: SimulatedCluster) -> None:
-    """Jobs are cancelled as their last task ends."""
+    """Cancel jobs when their last task ends."""
     cluster.cancel_at_end_share = 0.4
     await anyio.sleep(25.0)
     cluster.cancel_at_end_share = 0.0
 
 
 async def machines_replaced_at_once(cluster: SimulatedCluster) -> None:
-    """Machines end, and those that replace them are up at once and get work."""
+    """Terminate machines whose replacements boot quickly and get tasks."""
     cluster.cloud.fast_boot_share = 1.0
     for _ in range(3):
         for worker in running_machines(cluster)[::2]:
             worker.terminate(cluster.rng.random() < 0.5)
         await anyio.sleep(cluster.rng.uniform(4.0, 8.0))
-        young = [w for w in running_machines(cluster) if w.tasks and now() - w.boots_at < 8.0]
-        cluster.observed["tasks on recently booted machines"] += len(young)
+        young_workers = [
+            w for w in running_machines(cluster) if w.tasks and now() - w.boots_at < 8.0
+        ]
+        cluster.observed["tasks on recently booted machines"] += len(young_workers)
         await restart(cluster, leader(cluster), cluster.rng.uniform(0.3, 2.0))
     cluster.cloud.fast_boot_share = 0.0
 
 
 async def zone_partitioned(cluster: SimulatedCluster) -> None:
-    """A zone with workers and a controller is cut off from everything else."""
+    """Partition a zone with workers and a controller from all other hosts."""
     await anyio.sleep(4.0)
-    # The faults coincide only once work runs inside.
+    # The scenario requires a task in the zone.
     with anyio.move_on_after(10 * LEASE_S):
         while not any(worker.zone == ZONES[1] for worker, _ in cluster.tasks_on_machines()):
             await anyio.sleep(0.1)
@@ -231,9 +233,9 @@
     cluster.network.heal()
 
 
-# Each with the observations that show that it was brought about.
+# The scenarios, each with the observations that show that it occurred.
 SCENARIOS: dict[FaultScenario, tuple[str, ...]] = {
-    leaders_end_with_uncommitted_ends: ("end proved, not committed",),
+    leaders_crash_with_uncommitted_task_ends: ("end proved, not committed",),
     delayed_heartbeats: ("duplicated heartbeat",),
     slow_store_then_outage: ("cancelled just before",),
     responses_lost: ("response lost", "leader ended"),
@@ -253,7 +255,7 @@
 
 
 def play_scenarios(seed: int, *scenarios: FaultScenario, jobs: int = 14) -> list[str]:
-    """Run these scenarios at once; the observations that are missing.  No rule may break."""
+    """Run scenarios concurrently, check the rules, and return the missing observations."""
     cluster = SimulatedCluster(seed, cancel_s=CANCEL_S)
     run(cluster, lambda: run_with_faults(cluster, scenarios, jobs))
     assert cluster.violations == [], cluster.violations[:3]
@@ -262,5 +264,5 @@
 
 
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda s: s.__name__)
-def test_a_combination_of_faults_breaks_no_rule(scenario: FaultScenario) -> None:
+def test_rules_hold_under_combined_faults(scenario: FaultScenario) -> None:
     assert not play_scenarios(700 + list(SCENARIOS).index(scenario), scenario)
--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -1,4 +1,4 @@
-"""Seeded random faults while users work; the rules are checked after every step."""
+"""Seeded random faults under load; the rules are checked after every step."""
 
 import hashlib
 import os
@@ -26,7 +26,7 @@
 
 
 async def run_jobs_with_fault(cluster: SimulatedCluster, fault: Fault, jobs: int = 12) -> None:
-    """Jobs arrive during a fault; afterwards all of them must complete."""
+    """Submit jobs during a fault, and check that all of them complete afterwards."""
     await wait_until_healthy(cluster)
     ids = [f"job-{n:06d}" for n in range(jobs)]
     service = job(900, form="service", entries=2, rank="prod", docket="web", loaners=False)
@@ -42,8 +42,8 @@
         tasks.start_soon(users)
         tasks.start_soon(fault, cluster)
     cluster.network.heal()
-    late = await cluster.until_done(ids, 240.0)
-    assert not late, [(i, cluster.specs[i], await cluster.poll(i)) for i in late]
+    unfinished = await cluster.until_done(ids, 240.0)
+    assert not unfinished, [(i, cluster.specs[i], await cluster.poll(i)) for i in unfinished]
     await cluster.until_running(service["id"], 2)
     assert await cluster.cancel(service["id"]) == "cancelled"
     await anyio.sleep(45.0)
@@ -64,43 +64,45 @@
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda f: f.__name__)
 @pytest.mark.parametrize("seed", [1, 2])
-def test_rules_hold_and_all_work_completes(fault: Fault, seed: int) -> None:
+def test_rules_hold_and_all_jobs_complete(fault: Fault, seed: int) -> None:
     play_day(seed * 100 + FAULTS.index(fault), fault)
 
 
 def play_day(seed: int, fault: Fault) -> None:
-    """Run one seeded day with a fault; no rule may break."""
+    """Run jobs with a fault from a seed, and check that no rule is violated."""
     cluster = SimulatedCluster(seed)
     run(cluster, lambda: run_jobs_with_fault(cluster, fault))
     assert cluster.violations == []
     assert cluster.store.largest < 8 * 1024
 
 
-# Each with its seed.
-GROWN_FAULTS = [(708, zone_cut_off), (704, spot_reclaim_wave), (710, slow_store)]
+# Faults of a large cluster, each with its seed.
+LARGE_CLUSTER_FAULTS = [(708, zone_cut_off), (704, spot_reclaim_wave), (710, slow_store)]
 
 
 @pytest.mark.parametrize(
-    ("seed", "fault"), GROWN_FAULTS, ids=[fault.__name__ for _, fault in GROWN_FAULTS]
+    ("seed", "fault"),
+    LARGE_CLUSTER_FAULTS,
+    ids=[fault.__name__ for _, fault in LARGE_CLUSTER_FAULTS],
 )
-def test_a_large_cluster_keeps_the_rules(seed: int, fault: Fault) -> None:
-    """Seven controllers, dozens of machines, arrays that need several records, small values."""
-    play_grown(seed, fault)
+def test_rules_hold_in_a_large_cluster(seed: int, fault: Fault) -> None:
+    """Seven controllers, dozens of machines, and arrays that need several records."""
+    play_large_cluster(seed, fault)
 
 
-def play_grown(seed: int, fault: Fault) -> None:
-    """Run one seeded day of a large cluster with a fault; no rule may break."""
+def play_large_cluster(seed: int, fault: Fault) -> None:
+    """Run jobs on a large cluster with a fault, and check that no rule is violated."""
     cluster = SimulatedCluster(seed, count=7, large=True)
     cluster.cloud.capacity = 48
 
     async def main() -> None:
         await wait_until_healthy(cluster)
         ids = [f"job-{n:06d}" for n in range(12)]
-        web = job(900, form="service", entries=9, rank="prod", docket="web", loaners=False)
-        web |= {"apart": True}
+        service = job(900, form="service", entries=9, rank="prod", docket="web", loaners=False)
+        service |= {"apart": True}
 
         async def users() -> None:
-            await cluster.submit(web)
+            await cluster.submit(service)
             for number, job_id in enumerate(ids):
                 large = {"entries": 60, "parcel": f"img-{number % 3}"}
                 spec = large if number % 3 == 0 else mixed_job(cluster, number)
@@ -112,9 +114,9 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(users)
             tasks.start_soon(fault, cluster)
-        late = await cluster.until_done(ids, 240.0)
-        assert not late, late
-        await cluster.until_running(web["id"], 9)
+        unfinished = await cluster.until_done(ids, 240.0)
+        assert not unfinished, unfinished
+        await cluster.until_running(service["id"], 9)
 
     run(cluster, main)
     assert cluster.violations == []
@@ -124,18 +126,18 @@
 
 
 def store_history_digest(seed: int) -> str:
-    """A digest of everything that one seeded day writes to the store."""
+    """Return a digest of all writes to the store in a seeded run."""
     cluster = SimulatedCluster(seed)
     run(cluster, lambda: run_jobs_with_fault(cluster, all_faults, jobs=6))
     return hashlib.sha256(repr(cluster.store.history).encode()).hexdigest()
 
 
-def test_a_seed_alone_repeats_a_day_whatever_the_hash_seed() -> None:
-    """Sets are ordered differently in each process: nothing may depend on it."""
+def test_a_seed_gives_the_same_writes_regardless_of_the_hash_seed() -> None:
+    """The order of sets differs between processes; no write may depend on it."""
     here = Path(__file__).resolve().parent
     path = os.pathsep.join([str(here), str(here.parent / "src")])
     code = "from test_random_faults import *; print(store_history_digest(106))"
-    found = [
+    digests = [
         subprocess.run(
             [sys.executable, "-c", code],
             env=os.environ | {"PYTHONHASHSEED": seed, "PYTHONPATH": path},
@@ -145,4 +147,4 @@
         ).stdout
         for seed in ("3", "11")
     ]
-    assert len(found[0]) == 65 and found[0] == found[1]
+    assert len(digests[0]) == 65 and digests[0] == digests[1]
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -103,7 +103,7 @@
 def test_inventory_of_any_size_fits_the_store_and_round_trips(machines: int, part: str) -> None:
     """Guards against an inventory that the store rejects, so that others use an outdated one."""
     limit = 8 * 1024
-    before = inventory(machines, part=part)
+    before = inventory(machines, name_prefix=part)
     values = cbor2.loads(cbor2.dumps(inventory_values_v1(before, limit)))
     assert all(len(msgspec.json.encode(value)) <= limit for value in values)
     assert (len(values) == 1) == (machines <= 500 and (part == "vm-" or machines <= 160))
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -1,10 +1,10 @@
-"""A seeded play repeats event by event, whatever the hash seed of its process."""
+"""Determinism of seeded simulations: the same events under every hash seed."""
 
 import first_difference
 
 PLAY = "from test_random_faults import *; store_history_digest({seed})"
-# A user who asks the first of a set of controllers: its order follows the hash seed.
-PLANTED = """
+# Injected fault: each request goes to the first of a set, whose order depends on the hash seed.
+HASH_DEPENDENT_ASK = """
 import simulation
 ask = simulation.SimulatedCluster.ask
 async def planted(self, method, path, body=None, node=None):
@@ -14,23 +14,23 @@
 """
 
 
-def test_a_seeded_play_repeats_event_by_event_under_two_hash_seeds() -> None:
+def test_a_seeded_run_gives_the_same_events_under_two_hash_seeds() -> None:
     code = PLAY.format(seed=107)
-    one, other = (first_difference.play(code, seed) for seed in ("4", "7"))
-    assert len(one) > 1000, one[-1:]
-    at = first_difference.first_difference(one, other)
-    assert at is None, (one[at : at + 1], other[at : at + 1])
+    first, other = (first_difference.play(code, seed) for seed in ("4", "7"))
+    assert len(first) > 1000, first[-1:]
+    at = first_difference.first_difference(first, other)
+    assert at is None, (first[at : at + 1], other[at : at + 1])
 
 
-def test_a_planted_dependence_on_a_sets_order_is_found() -> None:
-    code = PLANTED.format() + PLAY.format(seed=107)
+def test_a_dependence_on_the_order_of_a_set_is_detected() -> None:
+    code = HASH_DEPENDENT_ASK.format() + PLAY.format(seed=107)
     plays = [first_difference.play(code, str(seed)) for seed in (1, 2, 3, 4)]
     assert all(len(events) > 100 for events in plays), [events[-1:] for events in plays]
-    found = [first_difference.first_difference(plays[0], other) for other in plays[1:]]
-    assert any(at is not None for at in found)
+    differences = [first_difference.first_difference(plays[0], other) for other in plays[1:]]
+    assert any(at is not None for at in differences)
 
 
-def test_the_first_difference_is_where_plays_part() -> None:
+def test_first_difference_returns_the_first_differing_index() -> None:
     first = first_difference.first_difference
     assert first(["a", "b"], ["a", "b"]) is None
     assert first(["a", "b"], ["a", "c"]) == 1
--- a/tests/test_single_faults.py
+++ b/tests/test_single_faults.py
@@ -1,4 +1,4 @@
-"""One fault at a time, brought about on purpose: what the cluster must do about each."""
+"""The required behaviour of the cluster under each single fault."""
 
 from collections import Counter
 
@@ -10,12 +10,12 @@
 from simulation.faults import running_machines
 from simulation.workloads import wait_until_healthy
 
-# All printable characters but the space.
+# All printable ASCII characters except the space.
 PRINTABLE = "".join(chr(n) for n in range(33, 127))
 
 
 @pytest.mark.parametrize("seed", [11, 12])
-def test_tasks_of_a_cancelled_job_are_gone_within_cancel_s(seed: int) -> None:
+def test_tasks_of_a_cancelled_job_are_stopped_within_cancel_s(seed: int) -> None:
     cluster = SimulatedCluster(seed)
 
     async def main() -> None:
@@ -47,11 +47,11 @@
     async def main() -> None:
         await wait_until_healthy(cluster)
         await cluster.submit(job(1, docket="broken", entries=1, expect_s=5.0))
-        good = [job(n, entries=2) for n in range(2, 8)]
-        for spec in good:
+        healthy_jobs = [job(n, entries=2) for n in range(2, 8)]
+        for spec in healthy_jobs:
             await cluster.submit(spec)
             await anyio.sleep(8.0)
-        assert not await cluster.until_done([s["id"] for s in good], 60.0)
+        assert not await cluster.until_done([s["id"] for s in healthy_jobs], 60.0)
         for node in cluster.nodes.values():
             assert all(
                 len(d.failed_jobs) < UNHEALTHY_FAILURES for d in node.reconciler.agents.values()
@@ -72,11 +72,11 @@
             await cluster.submit(job(number, entries=3))
         await anyio.sleep(12.0)
         running_machines(cluster)[0].faulty = True
-        more = [job(n, entries=4) for n in range(10, 18)]
-        for spec in more:
+        later_jobs = [job(n, entries=4) for n in range(10, 18)]
+        for spec in later_jobs:
             await cluster.submit(spec)
             await anyio.sleep(2.0)
-        assert not await cluster.until_done([s["id"] for s in more], 90.0)
+        assert not await cluster.until_done([s["id"] for s in later_jobs], 90.0)
 
     run(cluster, main)
     assert cluster.violations == []
@@ -125,10 +125,13 @@
         assert (await cluster.ask("POST", "/work", job(6, bureau="nobody"))).status == 422
         assert (await cluster.ask("POST", "/work", job(6, vcpus=64.0))).status == 422
         assert (await cluster.ask("POST", "/work", job(6, vcpus=float("nan")))).status == 400
-        # Too large for the store: refused with the cause, not accepted and never written.
-        names = ["small", *("".join(cluster.rng.choices(PRINTABLE, k=128)) for _ in range(127))]
-        many = [f"job-{cluster.rng.randrange(10**18):018d}" for _ in range(128)]
-        answer = await cluster.ask("POST", "/work", job(6, breeds=names, awaits=many))
+        # A job that exceeds the store's value limit is rejected, not accepted without being stored.
+        type_names = [
+            "small",
+            *("".join(cluster.rng.choices(PRINTABLE, k=128)) for _ in range(127)),
+        ]
+        dependencies = [f"job-{cluster.rng.randrange(10**18):018d}" for _ in range(128)]
+        answer = await cluster.ask("POST", "/work", job(6, breeds=type_names, awaits=dependencies))
         assert answer.status == 422 and b"never accepted" in answer.body
         assert (await cluster.ask("POST", "/work", [1])).status == 400
         assert (await cluster.ask("GET", "/nothing")).status == 404
@@ -145,7 +148,7 @@
 
 
 def test_machines_of_a_controller_that_lost_the_store_are_not_returned() -> None:
-    """Seen in a measured day: its delayed inventories made its machines look silent."""
+    """Guards against delayed inventories that make machines look silent."""
     cluster = SimulatedCluster(51)
 
     async def main() -> None:
@@ -164,7 +167,7 @@
 
 
 def test_a_committed_start_is_not_blocked_by_its_own_changes() -> None:
-    """Seen in a measured day: as many blocks as starts, and no message to the other controllers."""
+    """Guards against starts whose own changes invalidate their premises."""
     cluster = SimulatedCluster(54)
 
     async def main() -> None:
@@ -187,13 +190,15 @@
         spec = job(900, form="service", entries=2, rank="prod", docket="web", loaners=False)
         await cluster.submit(spec)
         await anyio.sleep(25.0)
-        victim = next(w for w, t in cluster.tasks_on_machines() if t.name.startswith(spec["id"]))
-        victim.terminate(True)
+        failed_worker = next(
+            w for w, t in cluster.tasks_on_machines() if t.name.startswith(spec["id"])
+        )
+        failed_worker.terminate(True)
         died = anyio.current_time()
         while len(cluster.tasks_on_machines()) < 2:
             await anyio.sleep(0.2)
             assert anyio.current_time() - died < 40.0
-        # Before the machine list could show the failure, and without any rule broken.
+        # Earlier than the machine list shows the failure.
         assert anyio.current_time() - died < 30.0
 
     run(cluster, main)
@@ -238,15 +243,15 @@
             await anyio.sleep(2.0)
         assert not await cluster.until_done(ids, 120.0)
         await anyio.sleep(60.0)
-        never_up = [w for w in cluster.cloud.workers.values() if w.boots_at > now() + 1e5]
-        assert len(never_up) == 2 and all(w.terminated_at is not None for w in never_up)
+        never_booted = [w for w in cluster.cloud.workers.values() if w.boots_at > now() + 1e5]
+        assert len(never_booted) == 2 and all(w.terminated_at is not None for w in never_booted)
 
     run(cluster, main)
     assert cluster.violations == []
 
 
 def test_the_later_of_two_processes_of_one_controller_fences_the_earlier() -> None:
-    """Seen here: the earlier one proved leases expired that the later one had renewed."""
+    """Guards against lease expiry proofs of the earlier process for leases renewed by the later."""
     cluster = SimulatedCluster(71)
 
     async def main() -> None:
@@ -254,25 +259,25 @@
         ids = [f"job-{n:06d}" for n in range(10)]
         for number in range(5):
             await cluster.submit(job(number, entries=4, expect_s=20.0))
-        first = cluster.nodes["node-0"]
+        earlier = cluster.nodes["node-0"]
         await anyio.sleep(10.0)
         cluster.boot(0, twin=True)
         await anyio.sleep(4.0)
-        second = cluster.nodes["node-0"]
+        later = cluster.nodes["node-0"]
         assert (
-            second is not first
-            and second.controller_lease.alive()
-            and not first.controller_lease.alive()
+            later is not earlier
+            and later.controller_lease.alive()
+            and not earlier.controller_lease.alive()
         )
         before = cluster.store.writes["s/t/"]
         for number in range(5, 10):
             await cluster.submit(job(number, entries=4, expect_s=20.0))
             await anyio.sleep(5.0)
         assert not await cluster.until_done(ids, 120.0)
-        assert not first.controller_lease.alive() and cluster.store.writes["s/t/"] - before <= 4
-        # The earlier one takes the later one's place when that one's lease has expired.
+        assert not earlier.controller_lease.alive() and cluster.store.writes["s/t/"] - before <= 4
+        # The earlier process takes over after the lease of the later one has expired.
         cluster.controllers.end_twin(0)
-        while not first.controller_lease.alive():
+        while not earlier.controller_lease.alive():
             await anyio.sleep(1.0)
             assert now() < 1400.0
 
@@ -281,7 +286,7 @@
 
 
 def test_controllers_that_refuse_each_other_do_not_reassign_teams_endlessly() -> None:
-    """Seen here as a livelock: each claimed both teams, five times a second, as the other did."""
+    """Guards against a livelock in which two controllers claim the same teams in turn."""
     cluster = SimulatedCluster(72)
 
     async def main() -> None:
@@ -293,10 +298,10 @@
         for number in range(12):
             cluster.network.tasks.start_soon(cluster.submit, job(number, bureau="red"))
             await anyio.sleep(5.0)
-        # A minute has passed: each claims a team once a lease at most, once they know of each other.
+        # In this minute each controller may claim a team at most once per lease.
         assert cluster.store.writes["s/t/"] - before <= 12
         assert not await cluster.until_done([f"job-{n:06d}" for n in range(12)], 60.0)
-        # When the later assignee ends, a team waits no longer than its lease lasts.
+        # After a crash of the later assignee, failover takes no longer than its lease.
         cluster.crash(1)
         await cluster.submit(job(50))
         assert not await cluster.until_done(["job-000050"], 40.0)
--- a/tools/search.py
+++ b/tools/search.py
@@ -46,7 +46,7 @@
     "test_upgrade.play_upgrade({seed}, {faults})",
     "pipelines": "from simulation.faults import *; import test_dependencies; "
     "test_dependencies.play_pipelines({seed}, {faults})",
-    "large": "from test_random_faults import *; play_grown({seed}, {faults})",
+    "large": "from test_random_faults import *; play_large_cluster({seed}, {faults})",
     "faults": "from test_faults import *; play_fault({seed}, {faults})",
     "combined": "from test_combined_faults import *; print(play_scenarios({seed}, {faults}))",
 }
