--- a/tests/simulation/cloud.py
+++ b/tests/simulation/cloud.py
@@ -38,7 +38,7 @@
         self.fast_boot_share = 0.0  # share of the machines that boot within two seconds
         self.never_booting = 0  # the first N machines never boot
 
-    async def watch(self) -> None:
+    async def record_snapshots(self) -> None:
         """Record snapshots of the machine list until cancelled."""
         while True:
             self._history.append((now(), [self._describe(w) for w in self._listed()]))
--- a/tests/simulation/cluster.py
+++ b/tests/simulation/cluster.py
@@ -70,7 +70,7 @@
     def start(self, tasks: Any) -> None:
         """Start the cloud and all controllers in a task group."""
         self.network.tasks = tasks
-        tasks.start_soon(self.cloud.watch)
+        tasks.start_soon(self.cloud.record_snapshots)
         for index in range(self.count):
             self.boot(index)
 
--- a/tests/simulation/fault_scenarios.py
+++ b/tests/simulation/fault_scenarios.py
@@ -14,7 +14,8 @@
 from simulation.workloads import staggered_job, wait_until_healthy
 
 FaultScenario = Callable[[SimulatedCluster], Coroutine[Any, Any, None]]
-# Has the deployments' ratio to `lease_s`: less than the sum of the leases of controller and worker.
+# The ratio to `lease_s` is that of the deployments; shorter than the leases of controller and worker
+# combined.
 CANCEL_S = 32.0
 # Time after the end of all faults within which every job must be found, in seconds.
 FOUND_LIMIT_S = 75.0
--- a/tests/simulation/machines.py
+++ b/tests/simulation/machines.py
@@ -17,16 +17,16 @@
 class Task:
     """One attempt of a task on a machine."""
 
-    def __init__(self, spec: dict[str, Any], name: str, attempt: int, left_s: float) -> None:
+    def __init__(self, spec: dict[str, Any], name: str, attempt: int, remaining_s: float) -> None:
         self.spec = spec  # the submission of its job
         self.name, self.attempt = name, attempt
         self.state: TaskState = "fetching"
         self.cause, self.saved = "", False  # of the exit
         # Time when the image is fetched; of a started task, when it began to wait or run.
         self.ready_at = now() + _FETCH_S_PER_GB * spec["image_gb"]
-        self.left_s = left_s  # remaining run time, in seconds
+        self.remaining_s = remaining_s  # remaining run time, in seconds
         self.flushed_at = 0.0  # time when its checkpoint is saved
-        self.waits_since = 0.0  # time when it began to wait for its gang
+        self.waiting_since = 0.0  # time when it began to wait for its gang
 
     @property
     def on_machine(self) -> bool:
--- a/tests/simulation/rules.py
+++ b/tests/simulation/rules.py
@@ -62,9 +62,9 @@
 
 def check_runs_once(shared: SharedState, machine: Machine, task: Task) -> None:
     """Rule `ran_twice`: a task starts on a machine while it is on another."""
-    for other, there in shared.tasks_on_machines():
-        if there.name == task.name and there is not task:
-            detail = f"{task.name} on {machine.name} and {other.name}"
+    for other_machine, other in shared.tasks_on_machines():
+        if other.name == task.name and other is not task:
+            detail = f"{task.name} on {machine.name} and {other_machine.name}"
             shared.record_violation("ran_twice", detail)
 
 
@@ -83,9 +83,9 @@
     """
     spec = task.spec
     others = [
-        other.zone
-        for other, there in shared.tasks_on_machines()
-        if there.name != task.name and there.name.startswith(spec["id"] + "/")
+        other_machine.zone
+        for other_machine, other in shared.tasks_on_machines()
+        if other.name != task.name and other.name.startswith(spec["id"] + "/")
     ]
     zones = [machine.zone, *others]
     if spec["breeds"] is not None and machine.kind not in spec["breeds"]:
@@ -152,8 +152,8 @@
         shared.record_violation("not_done", job_id)
 
 
-def check_dependents_are_cancelled(shared: SharedState, job_id: str, asked: float) -> None:
+def check_dependents_are_cancelled(shared: SharedState, job_id: str, sent_at: float) -> None:
     """Rule `orphaned`: a job is live over `cancel_s` after its dependency was cancelled."""
     for name in shared.dependencies(job_id):
-        if asked - shared.cancelled_at.get(name, asked) > shared.cancel_s:
+        if sent_at - shared.cancelled_at.get(name, sent_at) > shared.cancel_s:
             shared.record_violation("orphaned", f"{job_id} after {name}")
--- a/tests/simulation/store.py
+++ b/tests/simulation/store.py
@@ -37,7 +37,7 @@
 
     share: float = 0.0  # of the selected transactions
     selects: Callable[[Any], bool] = bool  # predicate on the changes of a transaction
-    certain: int = 0  # the first N selected ones, regardless of the share
+    forced_count: int = 0  # the first N selected ones, regardless of the share
     at_once: bool = False  # applied immediately, only the response is lost
     on_lost: Callable[[str], None] | None = None  # called with the writer after a loss
 
@@ -66,7 +66,7 @@
         # Observations.
         self.history: list[tuple[float, str, Any]] = []  # all changes: time, key, value
         self.writes: Counter[str] = Counter()  # number of writes by key prefix
-        self.largest = 0  # size of the largest value, in bytes
+        self.largest_value_bytes = 0  # size of the largest value, in bytes
         self.rate_limited = 0  # transactions refused by the rate limit
         self.too_large = 0  # transactions refused by a size limit
 
@@ -106,9 +106,9 @@
         fault = self.unanswered
         if not fault.share or not fault.selects(body["apply"]):
             return False
-        if fault.certain <= 0 and self._shared.rng.random() >= fault.share:
+        if fault.forced_count <= 0 and self._shared.rng.random() >= fault.share:
             return False
-        fault.certain -= 1
+        fault.forced_count -= 1
         return True
 
     def _apply_without_response(self, source: str, body: Any) -> None:
@@ -207,7 +207,7 @@
             return 409, {"failed": failed, "ledger": self.revision}
         if changes:
             self.revision += 1
-        self.largest = max([self.largest, *sizes])
+        self.largest_value_bytes = max([self.largest_value_bytes, *sizes])
         for change in changes:
             self._apply(change)
         return 200, {"ledger": self.revision}
--- a/tests/simulation/task_executor.py
+++ b/tests/simulation/task_executor.py
@@ -36,10 +36,10 @@
         """Accept a task; a refused task exits immediately."""
         shared = self._shared
         spec = shared.specs[name.partition("/")[0]]
-        left_s = 0.0
+        remaining_s = 0.0
         if name not in shared.done:
-            left_s = shared.run_s(spec, name) - shared.saved.get(name, 0)
-        task = Task(spec, name, attempt, left_s)
+            remaining_s = shared.run_s(spec, name) - shared.saved.get(name, 0)
+        task = Task(spec, name, attempt, remaining_s)
         cpus, gpus, memory = self.free()
         if any(t.name == name and t.state != "exited" for t in self.tasks.values()):
             task.state, task.cause = "exited", "in_use"
@@ -100,7 +100,7 @@
         self._shared.starts[task.name] += 1
         rules.check_task_start(self._shared, self, task)
         task.state = "waiting" if task.spec["form"] == "group" else "running"
-        task.ready_at = task.waits_since = now()
+        task.ready_at = task.waiting_since = now()
         self.changed.set()
 
     def _wait_for_gang(self, task: Task) -> None:
@@ -108,14 +108,14 @@
         if len(members) == task.spec["entries"]:
             for member in members:
                 member.state, member.ready_at = "running", now()
-        elif now() - task.waits_since > GANG_WAIT_S:
+        elif now() - task.waiting_since > GANG_WAIT_S:
             self._exit(task, "alone")
 
     def _run(self, task: Task) -> None:
         spec, shared = task.spec, self._shared
         is_gang = spec["form"] == "group"
         gang_complete = not is_gang or len(shared.gang_members(task)) == spec["entries"]
-        finished = spec["form"] != "service" and now() - task.ready_at >= task.left_s
+        finished = spec["form"] != "service" and now() - task.ready_at >= task.remaining_s
         if finished and (gang_complete or task.name in shared.done):
             for member in shared.gang_members(task) if is_gang else [task]:
                 shared.done.add(member.name)
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -113,7 +113,7 @@
         fault = cluster.store.unanswered
         fault.selects, fault.share = selector(cluster, kind), 0.4
         for _ in range(2):
-            fault.certain = 2
+            fault.forced_count = 2
             await anyio.sleep(6.0)
             # Late transactions may also come from an earlier process.
             await restart(
@@ -149,7 +149,7 @@
         fault.on_lost, fault.at_once, fault.selects = inject_fate, True, selector(cluster, kind)
         fault.share = 0.4
         for _ in range(2):
-            injected, fault.certain = False, 2
+            injected, fault.forced_count = False, 2
             await anyio.sleep(6.0)
             await restart(
                 cluster, await cause_transaction(cluster, kind), downtime_s(cluster, kind)
--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -73,7 +73,7 @@
     cluster = SimulatedCluster(seed)
     run(cluster, lambda: run_jobs_with_fault(cluster, fault))
     assert cluster.violations == []
-    assert cluster.store.largest < 8 * 1024
+    assert cluster.store.largest_value_bytes < 8 * 1024
 
 
 # Faults of a large cluster, each with its seed.
@@ -120,7 +120,7 @@
 
     run(cluster, main)
     assert cluster.violations == []
-    assert cluster.store.largest <= 2 * 1024
+    assert cluster.store.largest_value_bytes <= 2 * 1024
     largest = max(len(node.nodes) for node in cluster.nodes.values())
     assert largest == 7 and sum(cluster.starts.values()) >= 240
 
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -7,10 +7,10 @@
 HASH_DEPENDENT_ASK = """
 import simulation
 ask = simulation.SimulatedCluster.ask
-async def planted(self, method, path, body=None, node=None):
+async def hash_dependent_ask(self, method, path, body=None, node=None):
     first = next(iter({{f"node-{{index}}" for index in range(self.count)}}))
     return await ask(self, method, path, body, int(first.rpartition("-")[2]))
-simulation.SimulatedCluster.ask = planted
+simulation.SimulatedCluster.ask = hash_dependent_ask
 """
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -249,7 +249,7 @@
 
     run(cluster, main)
     assert cluster.violations == []
-    assert cluster.store.largest <= 2048 and cluster.store.too_large == 0
+    assert cluster.store.largest_value_bytes <= 2048 and cluster.store.too_large == 0
 
 
 def test_limits_that_shrink_without_notice_stop_no_service() -> None:
