--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -6,12 +6,12 @@
 import pytest
 
 import production
-from helpers import commit, scene, spec
+from helpers import commit, scheduler_with_two_machines, spec
 from sandladder.config import TeamLimits
 from sandladder.jobs import rejection_reason, start, submit
 from sandladder.model import NO_HEADROOM, Placement, TeamUsage, headroom, within_guarantee
 from sandladder.state import PreconditionFailedError, Transaction
-from simulation import TODAY, SimulatedCluster, job
+from simulation import THIS_VERSION, SimulatedCluster, job
 from simulation.answer_consistency import is_over_limit
 from simulation.fault_scenarios import run_and_expect, wait_until
 from simulation.workloads import wait_until_healthy
@@ -67,7 +67,7 @@
 @pytest.mark.parametrize("limits", [GPUS_ONLY, NO_LIMITS])
 def test_jobs_of_a_team_without_a_cpu_limit_are_accepted_and_start(limits: TeamLimits) -> None:
     """Guards against the rejection of every submission of a team with a GPU limit only."""
-    _, _, cache, _ = scene()
+    _, _, cache, _ = scheduler_with_two_machines()
     team_limits = {"red": limits}
     small = spec(1, entries=2, vcpus=2.0)
     assert rejection_reason(small, cache.machine_types, team_limits) is None
@@ -145,7 +145,9 @@
     run_and_expect(cluster, main, "spot machine reclaimed", "all done")
 
 
-@pytest.mark.skipif(production.missing() is not None, reason=str(production.missing()))
+@pytest.mark.skipif(
+    production.unavailable_reason() is not None, reason=str(production.unavailable_reason())
+)
 def test_versions_with_different_admission_rules_agree_on_accepted_jobs() -> None:
     """The version in production rejects jobs of a team with a GPU limit only; this one accepts them."""
     cluster = SimulatedCluster(
@@ -161,7 +163,7 @@
         refused = job(1, **fields)
         assert await statuses("POST", "/work", refused) == [422] * 3
         cluster.crash(0)
-        cluster.versions[0] = TODAY
+        cluster.versions[0] = THIS_VERSION
         cluster.boot(0)
         await wait_until_healthy(cluster)
         jobs = [job(2, **fields), job(3, **fields)]
@@ -179,7 +181,7 @@
         cluster.observed["answered by both versions"] += 1
         for index in (1, 2):
             cluster.crash(index)
-            cluster.versions[index] = TODAY
+            cluster.versions[index] = THIS_VERSION
             await anyio.sleep(2.0)
             cluster.boot(index)
             await anyio.sleep(4.0)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -18,7 +18,7 @@
     raise_schema_version,
     retire_controller,
 )
-from simulation import NEXT, TODAY, SimulatedCluster, job, now, run
+from simulation import NEXT_LIMITS, THIS_VERSION, SimulatedCluster, job, now, run
 from simulation.faults import (
     Fault,
     all_faults,
@@ -31,13 +31,13 @@
 from simulation.workloads import mixed_job, pipeline, submit_in_order, wait_until_healthy
 
 requires_history = pytest.mark.skipif(
-    production.missing() is not None, reason=str(production.missing())
+    production.unavailable_reason() is not None, reason=str(production.unavailable_reason())
 )
 
 
 def test_production_commit_is_in_the_history() -> None:
-    if production.missing() is not None:
-        pytest.skip(str(production.missing()))
+    if production.unavailable_reason() is not None:
+        pytest.skip(str(production.unavailable_reason()))
     production._git("merge-base", "--is-ancestor", production.commit(), "HEAD")
 
 
@@ -45,7 +45,7 @@
     """Kill the controllers in order, and restart each with the current version."""
     for index in order:
         cluster.crash(index)
-        cluster.versions[index] = TODAY
+        cluster.versions[index] = THIS_VERSION
         await anyio.sleep(cluster.rng.uniform(1.0, 3.0))
         cluster.boot(index)
         await anyio.sleep(cluster.rng.uniform(0.0, pause_s))
@@ -106,7 +106,7 @@
 
 
 def play_upgrade(seed: int, fault: Fault) -> None:
-    cluster = SimulatedCluster(seed, old=True, next=NEXT)
+    cluster = SimulatedCluster(seed, old=True, next=NEXT_LIMITS)
     run(cluster, lambda: run_upgrade(cluster, fault))
     assert cluster.violations == []
     assert cluster.store.too_large == 0
@@ -115,7 +115,7 @@
 @requires_history
 def test_old_and_new_controllers_share_records_in_any_upgrade_order() -> None:
     """Controllers are upgraded and downgraded again while one still runs the old version."""
-    cluster = SimulatedCluster(920, old=True, next=NEXT)
+    cluster = SimulatedCluster(920, old=True, next=NEXT_LIMITS)
     old = production.load()
 
     async def main() -> None:
@@ -125,7 +125,7 @@
             cluster.network.tasks.start_soon(cluster.submit, mixed_job(cluster, number), 120)
             index = cluster.rng.randrange(2)  # the third keeps the old version
             cluster.crash(index)
-            cluster.versions[index] = cluster.rng.choice([old, TODAY])
+            cluster.versions[index] = cluster.rng.choice([old, THIS_VERSION])
             await anyio.sleep(cluster.rng.uniform(0.5, 2.0))
             cluster.boot(index)
             await anyio.sleep(cluster.rng.uniform(1.0, 6.0))
@@ -133,7 +133,7 @@
         assert all(key != "s/j/form" for key in cluster.store.items)
         # A job with dependencies is rejected while a controller does not support them.
         answer = await cluster.ask("POST", "/work", job(50, awaits=[ids[0]]), node=0)
-        if cluster.versions[0] is TODAY:
+        if cluster.versions[0] is THIS_VERSION:
             assert answer.status == 503 and answer.retry_after is not None
 
     run(cluster, main)
@@ -142,7 +142,7 @@
 
 @requires_history
 def test_old_controller_started_after_the_upgrade_is_blocked(caplog: Any) -> None:
-    cluster = SimulatedCluster(930, next=NEXT)
+    cluster = SimulatedCluster(930, next=NEXT_LIMITS)
 
     async def main() -> None:
         await wait_until_healthy(cluster)
@@ -225,7 +225,7 @@
 @pytest.mark.parametrize("seed", [1, 2])
 def test_wide_jobs_run_within_the_smallest_limits(seed: int) -> None:
     """Wide arrays, gangs and services with values of 2 KiB and 4 operations per transaction."""
-    cluster = SimulatedCluster(950 + seed, grown=True, next=NEXT)
+    cluster = SimulatedCluster(950 + seed, large=True, next=NEXT_LIMITS)
     cluster.cloud.capacity = 60
     cluster.apply_next_limits()
 
@@ -249,12 +249,12 @@
 
     run(cluster, main)
     assert cluster.violations == []
-    assert cluster.store.largest <= 2048 and cluster.store.too_large == 0
+    assert cluster.store.largest_value_bytes <= 2048 and cluster.store.too_large == 0
 
 
 def test_limits_that_shrink_without_notice_stop_no_service() -> None:
     """Guards against endless retries of a transaction that exceeds the store's limits."""
-    cluster = SimulatedCluster(960, grown=True, value_kb=8.0)
+    cluster = SimulatedCluster(960, large=True, value_kb=8.0)
     cluster.cloud.capacity = 60
     wide = {"entries": 60, "vcpus": 16.0, "ram_gb": 16.0, "expect_s": 8.0}
 
--- a/tools/scale_run.py
+++ b/tools/scale_run.py
@@ -161,7 +161,7 @@
             "starts a second": round((cluster.starts.total() - starts_before) / counted_s, 1),
             "most starts in a second": max(starts_by_second.values()),
             "changes a second": round((len(cluster.store.history) - writes_before) / counted_s, 2),
-            "tasks running": len(cluster.present()),
+            "tasks running": len(cluster.tasks_on_machines()),
             "urgent wait p50, p99 (s)": _wait_percentiles(load, start_time, True),
             "other wait p50, p99 (s)": _wait_percentiles(load, start_time, False),
         }
--- a/tools/search.py
+++ b/tools/search.py
@@ -47,7 +47,7 @@
     "test_upgrade.play_upgrade({seed}, {arguments})",
     "pipelines": "from simulation.faults import *; import test_dependencies; "
     "test_dependencies.play_pipelines({seed}, {arguments})",
-    "large": "from test_random_faults import *; play_grown({seed}, {arguments})",
+    "large": "from test_random_faults import *; play_large_cluster({seed}, {arguments})",
     "faults": "from test_faults import *; play_fault({seed}, {arguments})",
     "combined": "from test_combined_faults import *; print(play_scenarios({seed}, {arguments}))",
 }
