--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -113,7 +113,7 @@
         fault = cluster.store.unanswered
         fault.selects, fault.share = selector(cluster, kind), 0.4
         for _ in range(2):
-            fault.certain = 2
+            fault.forced_count = 2
             await anyio.sleep(6.0)
             # Late transactions may also come from an earlier process.
             await restart(
@@ -149,7 +149,7 @@
         fault.on_lost, fault.at_once, fault.selects = inject_fate, True, selector(cluster, kind)
         fault.share = 0.4
         for _ in range(2):
-            injected, fault.certain = False, 2
+            injected, fault.forced_count = False, 2
             await anyio.sleep(6.0)
             await restart(
                 cluster, await cause_transaction(cluster, kind), downtime_s(cluster, kind)
@@ -167,7 +167,7 @@
     cluster = SimulatedCluster(800 + list(KINDS).index(kind), cancel_s=CANCEL_S)
     run(cluster, lambda: run_with_faults(cluster, (applied_late(kind),), 14))
     assert cluster.violations == [], cluster.violations[:3]
-    applied = cluster.observed["late write taken"] + cluster.observed["late write refused"]
+    applied = cluster.observed["late write applied"] + cluster.observed["late write refused"]
     assert applied, (kind, cluster.observed)
 
 
@@ -179,7 +179,7 @@
     run_and_expect(
         cluster,
         lambda: run_with_faults(cluster, (response_lost(kind, fate),), 14),
-        "answer lost",
-        "read by others while its writer did not know",
+        "transaction response lost",
+        "change read by others after its response was lost",
         fate,
     )
--- a/tests/test_read_consistency.py
+++ b/tests/test_read_consistency.py
@@ -81,7 +81,7 @@
     run_and_expect(
         cluster,
         lambda: run_with_faults(cluster, (scenario,), 20),
-        *(f"looked at when {event}" for event in events),
+        *(f"read concurrently when {event}" for event in events),
     )
 
 
@@ -108,10 +108,10 @@
     async def main() -> None:
         await run_with_faults(cluster, (no_fault,), 30, short_job, cancels=0.0)
         # Both outcomes of the race must occur.
-        for state in set(cluster.answers.over.values()):
+        for state in set(cluster.answers.final_states.values()):
             cluster.observed[f"was {state} at the end"] += 1
 
-    observations = ("cancelled at its end", "looked at when ended")
+    observations = ("cancelled at completion", "read concurrently when ended")
     run_and_expect(cluster, main, *observations, "was done at the end", "was cancelled at the end")
 
 
@@ -128,9 +128,9 @@
                 assert await cluster.submit(spec) in (200, 201)
         ids = [spec["id"] for specs in pipelines for spec in specs]
         await check_recovery(cluster, ids)
-        final_states = cluster.answers.over
+        final_states = cluster.answers.final_states
         for job_id in ids:
-            dependencies = {final_states[name] for name in cluster.needed(job_id)}
+            dependencies = {final_states[name] for name in cluster.dependencies(job_id)}
             if "cancelled" in dependencies:
                 assert final_states[job_id] == "cancelled", job_id
                 cluster.observed["followed a cancelled job"] += 1
@@ -140,7 +140,7 @@
     run_and_expect(
         cluster,
         main,
-        "cancelled at its end",
+        "cancelled at completion",
         "followed a cancelled job",
         "followed jobs that are done",
     )
@@ -163,7 +163,7 @@
             assert await cluster.cancel(job_id) == "cancelled"
         await check_recovery(cluster, ids)
 
-    run_and_expect(cluster, main, "looked at when cancelled")
+    run_and_expect(cluster, main, "read concurrently when cancelled")
 
 
 # Changes that make a submission malformed (400), and ones that make it never runnable (422).
@@ -347,7 +347,7 @@
         cluster.store.commit_response_delay_s = {f"node-{i}": 1.4 for i in (1, 2)}
         with anyio.move_on_after(8.0):
             while len(forwarded_to) < 2:
-                cluster.network.tasks.start_soon(cluster.offer, job(1), 0)
+                cluster.network.tasks.start_soon(cluster.submit_once, job(1), 0)
                 await anyio.sleep(0.2)
         cluster.thaw(index)
         await anyio.sleep(3.0)
