--- a/src/sandladder/model/attempt_outcomes.py
+++ b/src/sandladder/model/attempt_outcomes.py
@@ -21,12 +21,12 @@
     DONE = "done"
     STOPPED = "stopped"  # as commanded
     SAVED = "saved"  # as commanded, with a checkpoint
-    PEERS_LOST = "peers"  # another member of its gang ended or became unreachable
-    PEERS_MISSING = "alone"  # the other members of its gang did not start in time
+    PEERS_LOST = "peers"  # another task of its gang ended or became unreachable
+    PEERS_MISSING = "alone"  # the other tasks of its gang did not start in time
     ERROR = "error"
-    UNKNOWN = "unknown"  # the agent does not know
-    NO_CAPACITY = "no_room"  # the machine refused it: too little free capacity
-    BUSY = "busy"  # the machine refused it: a resource that it needs was in use
+    UNKNOWN = "unknown"  # the agent does not know how it ended
+    NO_CAPACITY = "no_room"  # refused by the machine: too little free capacity
+    BUSY = "busy"  # refused by the machine: a required resource was in use
     LOST = "lost"  # the machine was removed, or the agent epoch that ran it ended
     NEVER_RAN = "never"  # stopped before the machine received the start command
 
--- a/src/sandladder/model/dependencies.py
+++ b/src/sandladder/model/dependencies.py
@@ -144,7 +144,7 @@
         ]
 
     def unresolved_dependencies(self, job: Job) -> list[str]:
-        """Return the unresolved ones among a job's direct and indirect dependencies.
+        """Return the direct and indirect dependencies of a job that are unresolved.
 
         The result of `outcome` is final only after all of them have been read.
         """
--- a/src/sandladder/model/machines.py
+++ b/src/sandladder/model/machines.py
@@ -56,7 +56,7 @@
         type: the machine type.
         zone: the machine's zone.
         spot: whether the machine is a spot instance.
-        state: the machine's state, in the protocol's words, but "booting" for "starting".
+        state: the machine's state as the cloud names it, except that "starting" is "booting".
         age_s: seconds from the rental request to the time that the list describes.
         addr: the address at which the machine's agent accepts commands, as host:port.
     """
--- a/src/sandladder/model/membership.py
+++ b/src/sandladder/model/membership.py
@@ -27,7 +27,7 @@
     Attributes:
         incarnation: the incarnation of its process: the fencing token that the process joined
             with.
-        refutations: how often the process refuted a suspicion or rejoined.
+        refutations: the number of times that the process refuted a suspicion or rejoined.
         state: IN, SUSPECT or OUT.
         since: the time of day at which the member was admitted or evicted, in seconds.
         flaps: the number of consecutive evictions soon after rejoining.
--- a/src/sandladder/model/scheduling_priority.py
+++ b/src/sandladder/model/scheduling_priority.py
@@ -12,7 +12,7 @@
 
 
 class SchedulingPriority(NamedTuple):
-    """The effective priority and due time of a job and all its dependents."""
+    """A job's priority and due time, including those inherited from its dependents."""
 
     priority: int  # a larger number is more urgent
     due: float  # the time of day by which the job should be done, in seconds
@@ -61,7 +61,7 @@
 ) -> SchedulingPriority:
     """Return the highest priority and the earliest due time among a job and its dependents.
 
-    The job is due before each dependent by the dependent's own duration.
+    A dependent counts with its due time minus its own duration.
     """
     spec = job.spec
     priority = spec.priority
