--- a/src/sandladder/protocol/agent_messages.py
+++ b/src/sandladder/protocol/agent_messages.py
@@ -18,6 +18,7 @@
 STATUS_PATH = "/status"
 
 _TASK_STATES = {"fetching", "waiting", "running", "flushing", "exited"}
+# Values of `AttemptOutcome`, by the cause on the wire.
 _EXIT_CAUSES = {
     "done": "done",
     "halted": "stopped",
@@ -114,7 +115,7 @@
 
 
 def direct_commands_body(agent_epoch: int, token: int, commands: Iterable[Command]) -> bytes:
-    """Return the body of commands sent to an agent, which drops them in any other epoch."""
+    """Return the body of commands to an agent; the agent drops them in any other epoch."""
     return dumps(commands_value(token, commands) | {"shift": agent_epoch})
 
 
--- a/src/sandladder/protocol/codec.py
+++ b/src/sandladder/protocol/codec.py
@@ -11,7 +11,7 @@
 
 from sandladder.errors import SandladderError
 
-# Limits of the protocol: bytes of a body; counts are less than the limit.
+# Limits of the protocol: the bytes of a body, and the exclusive upper bound of counts.
 BODY_LIMIT = 64 * 1024
 COUNT_LIMIT = 1 << 64
 # Limits of this implementation: characters of a text, and the largest amount.
--- a/src/sandladder/protocol/job_messages.py
+++ b/src/sandladder/protocol/job_messages.py
@@ -21,7 +21,7 @@
 CANCEL_ACTION = "cancel"
 
 TASK_LIMIT = 100_000
-# Dependencies of one submission; a stored record must have space for them.
+# The maximum number of dependencies of a job; all of them must fit into its stored record.
 DEPENDENCY_LIMIT = 128
 DEPENDENCIES_FIELD = "awaits"
 
--- a/src/sandladder/protocol/store_messages.py
+++ b/src/sandladder/protocol/store_messages.py
@@ -95,7 +95,7 @@
 
 
 def watch_target(prefix: str, after: int, wait_s: float) -> str:
-    """Return the target that waits up to `wait_s` seconds for changes after a revision."""
+    """Return the target of a watch for up to `wait_s` seconds for changes after a revision."""
     return f"{WATCH_PATH}?prefix={prefix}&after={after}&block_ms={round(wait_s * 1000)}"
 
 
