--- a/src/sandladder/config/checks.py
+++ b/src/sandladder/config/checks.py
@@ -14,9 +14,8 @@
     TeamLimits,
 )
 
-# The least limits of the key-value store that suffice: operations of the transaction that finishes
-# a job whose record spans three values (three deletions and the put of the outcome), and KiB of the
-# value that holds a job's start.
+# Minimum limits of the key-value store: operations of a transaction (three deletions and one put
+# finish a job whose record spans three values), and KiB of a value (to hold a job's start).
 MIN_TXN_OPS, MIN_VALUE_KB = 4, 2.0
 
 _STORE_RATES = ("rps", "write_rps", "value_kb")
@@ -81,7 +80,8 @@
 def _check_cancellation_time(workers: AgentSettings) -> None:
     """Check that `cancel_s` leaves enough time to answer heartbeats.
 
-    Otherwise an agent could run a cancelled task for longer than `cancel_s`.
+    Otherwise the lease renewal guard would suspend renewals less than half a heartbeat interval
+    after each store read.
     """
     if workers.cancellation_knowledge_age_s < workers.report_s / 2:
         raise SettingsError(
--- a/src/sandladder/config/platform_file.py
+++ b/src/sandladder/config/platform_file.py
@@ -11,7 +11,7 @@
 
 from sandladder.config.errors import SettingsError
 
-# An upper bound of the relative drift between the clocks of an agent and a controller.
+# An upper bound on the relative drift between the clocks of an agent and a controller.
 _MAX_CLOCK_DRIFT = 0.002
 
 
@@ -41,7 +41,15 @@
 
 
 class Objective(msgspec.Struct, frozen=True, rename={"cls": "class"}):
-    """A service-level objective for a class of jobs, or for all jobs."""
+    """A service-level objective.
+
+    Attributes:
+        kind: the kind of objective (`OBJECTIVE_KINDS`).
+        cls: the class of jobs; None: all jobs.
+        within_s: the time limit, in seconds.
+        share: not used by sandladder.
+        times: not used by sandladder.
+    """
 
     kind: str
     cls: str | None = None
@@ -51,7 +59,15 @@
 
 
 class AgentSettings(msgspec.Struct, frozen=True):
-    """Intervals and timeouts of agents, in seconds."""
+    """Intervals and timeouts of agents, in seconds.
+
+    Attributes:
+        report_s: the heartbeat interval.
+        lease_s: the duration of an agent's lease.
+        cancel_s: the maximum time from the confirmation of a cancellation to the end of all tasks.
+        gang_wait_s: the time for which a task waits for the others of its gang; used by agents.
+        gang_peer_s: a timeout between the tasks of a gang; used by agents.
+    """
 
     report_s: float
     lease_s: float
@@ -63,7 +79,7 @@
     def cancellation_knowledge_age_s(self) -> float:
         """The maximum age of a controller's knowledge of cancellations when it renews a lease.
 
-        If the controller misses a cancellation, the agent's lease still expires, and the task
+        Even if the controller does not know a cancellation, the agent's lease expires, and the task
         ends, within `cancel_s`.  The result allows for clock drift and for the delay with which an
         agent detects its lease expiry.
         """
--- a/src/sandladder/config/settings.py
+++ b/src/sandladder/config/settings.py
@@ -8,7 +8,7 @@
 from sandladder.config.operator_file import Operator, load_operator
 from sandladder.config.platform_file import Platform, read_platform_file
 
-# The known kinds of service-level objectives.  Only the times of `wait` and `finished` are read.
+# The known kinds of service-level objectives.  Only `wait` and `finished` are used.
 OBJECTIVE_KINDS = frozenset(
     {
         "deadline",
