--- a/src/sandladder/transport/__init__.py
+++ b/src/sandladder/transport/__init__.py
@@ -3,7 +3,7 @@
 `HttpServer` and `HttpClient` implement HTTP/1.1 for users, agents, the cloud and the key-value
 store.  `peer_messages` defines the messages between controllers, `peer_transport` the connections
 that carry them.  The package owns its sockets and no cluster state.  It neither retries requests
-nor reads HTTP bodies.
+nor interprets HTTP bodies.
 """
 
 from sandladder.transport.http import (
--- a/src/sandladder/transport/http_client.py
+++ b/src/sandladder/transport/http_client.py
@@ -100,7 +100,7 @@
         return data + (state.send(h11.EndOfMessage()) or b"")
 
     async def aclose(self) -> None:
-        """Close the idle connections; pending requests close theirs when they complete."""
+        """Close the idle connections; a pending request still returns its own to the pool."""
         idle, self._idle = self._idle, []
         for stream, _ in idle:
             await anyio.aclose_forcefully(stream)
--- a/src/sandladder/transport/http_server.py
+++ b/src/sandladder/transport/http_server.py
@@ -37,7 +37,7 @@
 
         Args:
             handler: returns the response to each request; called concurrently.
-            body_limit: the maximum size of a request body in bytes; a larger one is answered 413.
+            body_limit: the maximum size of a request body in bytes; a larger one is rejected (413).
             idle_s: the timeout of a connection that waits for its next request, in seconds.
             read_s: the maximum time from the first data of a request to its end, in seconds.
             max_connections: the maximum number of connections; further ones are closed immediately.
@@ -100,7 +100,7 @@
             conn.start_next_cycle()
 
     async def _read_request(self, stream: SocketStream, conn: h11.Connection) -> Request | None:
-        """Read the next request; return None if the connection ends or stalls before its end.
+        """Read the next request; return None if the connection ends or stalls first.
 
         Raises:
             _BodyTooLargeError: the body exceeds the limit.
--- a/src/sandladder/transport/peer_messages.py
+++ b/src/sandladder/transport/peer_messages.py
@@ -43,8 +43,8 @@
 class PeerHeartbeat(msgspec.Struct, tag="beat", array_like=True):
     """A controller's periodic heartbeat, with its status.
 
-    The first version sends only the fields up to `schema_version`.  The fields from `incarnation`
-    on are input of the failure detector, those from `process` on of the guard of lease renewals.
+    The first version sends only the fields up to `schema_version`.  Those from `incarnation`
+    to `observations` are input of the failure detector, the others of the lease renewal guard.
     """
 
     node: str
@@ -59,7 +59,7 @@
     observations: dict[str, LinkObservation] = {}  # by controller
     process: int = 0  # identifies the process; differs between the processes of one controller
     sent_at: float = 0.0  # on that process's steady clock, in seconds
-    acknowledged: dict[str, ClockReading] = {}  # by controller, its latest `sent_at` received
+    acknowledged: dict[str, ClockReading] = {}  # by controller, the latest reading received
     cancelled_jobs: list[str] = []  # committed cancellations known to the sender
     cancelled_jobs_complete: bool = False  # `cancelled_jobs` was not truncated
 
@@ -83,9 +83,9 @@
 
 
 class MachineUpdate(msgspec.Struct, tag="sighting", array_like=True):
-    """A machine appeared, changed or is to be reclaimed; sent by its reporting controller."""
+    """The status of a machine that appeared, changed or is to be reclaimed."""
 
-    node: str
+    node: str  # the controller to which the machine reports, which is the sender
     machine: str
     status: MachineStatus
 
--- a/src/sandladder/transport/peer_transport.py
+++ b/src/sandladder/transport/peer_transport.py
@@ -53,7 +53,7 @@
 _QUEUE_LIMIT = 256
 # The timeout of connecting and of sending, in heartbeat intervals.
 _TIMEOUT_INTERVALS = 4
-# The number of batches per heartbeat interval in which messages are sent.
+# The maximum number of batches of messages sent per heartbeat interval.
 _BATCHES_PER_INTERVAL = 12
 
 # Exceptions that a closed or broken connection may raise.
