--- a/tools/capacity/controller_state.py
+++ b/tools/capacity/controller_state.py
@@ -90,11 +90,11 @@
     return f"vm-{number:06d}"
 
 
-def heartbeat(number: int, entries: list[TaskStatus], seq: int = 1) -> AgentHeartbeat:
+def heartbeat(number: int, tasks: list[TaskStatus], seq: int = 1) -> AgentHeartbeat:
     """Return the heartbeat of a machine with the status of its tasks."""
     name, zone = machine_name(number), ZONES[number % len(ZONES)]
     return AgentHeartbeat(
-        name, f"{name}:9000", TYPE.name, zone, True, 1, seq, FENCING_TOKEN, None, tuple(entries)
+        name, f"{name}:9000", TYPE.name, zone, True, 1, seq, FENCING_TOKEN, None, tuple(tasks)
     )
 
 
--- a/tools/capacity/message_sizes.py
+++ b/tools/capacity/message_sizes.py
@@ -55,9 +55,9 @@
     """Return an encoded heartbeat between controllers."""
     peers = [f"node-{n}" for n in range(controllers - 1)]
     links = dict.fromkeys(peers, LinkObservation(0.123, False))
-    echoes = {name: ClockReading(1 << 39, 12345.678) for name in peers}
+    readings = {name: ClockReading(1 << 39, 12345.678) for name in peers}
     heartbeat = peer_messages.PeerHeartbeat(
-        "node-8", True, 10, 2, 9, 9, 0.01, 144, False, links, 1 << 39, 12345.678, echoes, [], True
+        "node-8", True, 10, 2, 9, 9, 0.01, 144, False, links, 1 << 39, 12345.678, readings, [], True
     )
     return peer_messages.encode_frame(heartbeat)
 
--- a/tools/capacity/page.py
+++ b/tools/capacity/page.py
@@ -8,7 +8,7 @@
 from capacity.rows import Row, fit, read
 
 PAGE = Path(__file__).resolve().parents[2] / "docs" / "CAPACITY.md"
-# What is varied in the rows of runs of the bench.
+# `Row.varied` of the rows of bench reports.
 BENCH_VARIED = "times the site's size"
 _TABLE = re.compile(r"(<!-- table: (?P<name>[a-z ]+) -->\n).*?(<!-- end -->)", re.DOTALL)
 
--- a/tools/same_plays.py
+++ b/tools/same_plays.py
@@ -44,7 +44,7 @@
     count: int
     processor_s: float
     exit_status: int
-    last_words: str
+    last_words: str  # the end of its standard error
 
 
 @dataclass(frozen=True)
--- a/tools/scale_run.py
+++ b/tools/scale_run.py
@@ -114,10 +114,10 @@
                     self.started_at[job_id] = now()
 
     def wait_times(self, since: float, urgent: bool) -> list[float]:
-        """Return the waits in seconds, so far or until the start, of jobs submitted since a time.
+        """Return the waiting times of jobs until their start, or until now, in seconds.
 
         Args:
-            since: the virtual time in seconds.
+            since: the virtual time in seconds; jobs submitted earlier are not selected.
             urgent: whether to select the urgent jobs or the others.
         """
         return [
@@ -174,7 +174,7 @@
 
 
 def teams(number: int) -> Iterator[dict[str, Any]]:
-    """Yield teams that each have a guarantee and a limit too high to bind."""
+    """Yield the settings of teams, each with a guarantee and a limit too high to be reached."""
     for index in range(number):
         yield {"name": f"team-{index:03d}", "cpus": 8.0, "cpus_max": 4000.0}
 
--- a/tools/search.py
+++ b/tools/search.py
@@ -146,6 +146,7 @@
     with ThreadPoolExecutor(options.jobs) as pool:
         for day, outcome in zip(selected, pool.map(run_day, selected), strict=True):
             if day.kind == "combined":
+                # The output lists the effects that were not observed.
                 both_effective[day.arguments] += outcome.output == "[]"
             if outcome.error is not None:
                 failed += 1
--- a/tools/service.py
+++ b/tools/service.py
@@ -3,11 +3,10 @@
 
     python tools/service.py REPORT.json... [--markdown]
 
-The bench writes a report with `run SITE DAY --report FILE`.  The service level of a class is the
-share of its jobs that were started.  For services the replica time also counts, for all other
-classes the share of jobs that are finished (done or cancelled); the smaller one is taken.  The
-service level of a team is the share of its jobs that were started.  A level below one half is
-marked as failed.
+The bench writes a report with `run SITE DAY --report FILE`.  The service level of a team is the
+share of its jobs that were started.  The service level of a class is the smaller of this share and
+of a second one: for services the share of replica time, for other classes the share of jobs that
+are finished (done or cancelled).  A level below one half is marked as failed.
 
 Exit status: 0 if no level failed, 1 if one did, 2 if a file is not a report.
 """
