--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""Links between the project's pages lead to files that exist."""
+"""Checks that relative links and named files of the project's pages exist."""
 
 import re
 from pathlib import Path
@@ -6,7 +6,7 @@
 import pytest
 
 ROOT = Path(__file__).resolve().parent.parent
-# Records keep the names of their time.
+# Records of past events; the files that they name may have been removed.
 RECORDS = {"measurements.md", "incidents"}
 PAGES = [
     page
@@ -18,7 +18,7 @@
 
 
 def broken_links(page: Path, text: str) -> list[str]:
-    """The relative links and the named files of a page that do not exist."""
+    """Return the relative links and the named files of a page that do not exist."""
     links = [link for link in LINK.findall(text) if not (page.parent / link).exists()]
     return links + [name for name in NAMED_PAGE.findall(text) if not (ROOT / name).exists()]
 
@@ -28,6 +28,6 @@
     assert broken_links(page, page.read_text("utf-8")) == []
 
 
-def test_a_broken_link_is_found() -> None:
+def test_a_broken_link_is_reported() -> None:
     text = "[a](nowhere.md) [b](README.md#install) [c](https://example.org/x) `docs/none.md`"
     assert broken_links(ROOT / "README.md", text) == ["nowhere.md", "docs/none.md"]
