--- a/src/sandladder/protocol/store_messages.py
+++ b/src/sandladder/protocol/store_messages.py
@@ -105,7 +105,7 @@
     return f"{KEYS_PATH}?prefix={prefix}{after_parameter}&most={limit}"
 
 
-def parse_events(body: bytes) -> ChangeBatch:
+def parse_changes(body: bytes) -> ChangeBatch:
     """Parse the changes that a watch returned.
 
     Raises:
--- a/src/sandladder/state/store_client.py
+++ b/src/sandladder/state/store_client.py
@@ -92,7 +92,7 @@
         answer = await self._request("GET", store_messages.watch_target(KEY_ROOT, after, 0.0))
         if answer.status == _GONE:
             return None
-        revision, events = store_messages.parse_events(_ok_body(answer))
+        revision, events = store_messages.parse_changes(_ok_body(answer))
         return StoredEntries(revision, [StoredEntry(*event) for event in events])
 
     async def commit(self, body: bytes, changes: int) -> int:
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -164,7 +164,7 @@
             "log": [{"put": "c/9", "v": [1], "edition": 433}, {"drop": "c/d", "edition": 432}],
         }
     )
-    assert store_messages.parse_events(body) == (433, [("c/9", [1], 433), ("c/d", None, 432)])
+    assert store_messages.parse_changes(body) == (433, [("c/9", [1], 433), ("c/d", None, 432)])
 
 
 def test_a_transaction_contains_its_expected_versions() -> None:
