--- a/src/sandladder/transport/peer_messages.py
+++ b/src/sandladder/transport/peer_messages.py
@@ -20,7 +20,7 @@
 _LENGTH_BYTES = 4
 
 
-class FrameTooLargeError(SandladderError):
+class FrameLengthError(SandladderError):
     """A frame's length is zero or exceeds the limit; the connection is no longer readable."""
 
     def __init__(self, size: int) -> None:
@@ -145,13 +145,13 @@
     """Remove the first frame from a buffer and return its body, or None if it is incomplete.
 
     Raises:
-        FrameTooLargeError: the frame's length is zero or exceeds the limit.
+        FrameLengthError: the frame's length is zero or exceeds the limit.
     """
     if len(buffer) < _LENGTH_BYTES:
         return None
     size = int.from_bytes(buffer[:_LENGTH_BYTES], "big")
     if not 0 < size <= MAX_FRAME_BYTES:
-        raise FrameTooLargeError(size)
+        raise FrameLengthError(size)
     end = _LENGTH_BYTES + size
     if len(buffer) < end:
         return None
--- a/src/sandladder/transport/peer_transport.py
+++ b/src/sandladder/transport/peer_transport.py
@@ -23,7 +23,7 @@
     EndedTasks,
     ForwardedRequest,
     ForwardedResponse,
-    FrameTooLargeError,
+    FrameLengthError,
     LinkObservation,
     MachineUpdate,
     Message,
@@ -181,7 +181,7 @@
                 await _receive_all(stream, idle_timeout_s, receive)
         except (anyio.EndOfStream, *_CONNECTION_ERRORS):
             pass
-        except (ValueError, FrameTooLargeError) as error:
+        except (ValueError, FrameLengthError) as error:
             log.warning("closing a peer's connection: %s", error)
         finally:
             connections -= 1
--- a/tests/peers/test_peer_messages.py
+++ b/tests/peers/test_peer_messages.py
@@ -14,7 +14,7 @@
 )
 from sandladder.transport.peer_messages import (
     MAX_FRAME_BYTES,
-    FrameTooLargeError,
+    FrameLengthError,
     Message,
     decode_body,
     encode_frame,
@@ -42,7 +42,7 @@
 
 @pytest.mark.parametrize("size", [0, MAX_FRAME_BYTES + 1])
 def test_a_frame_of_invalid_length_raises_an_error_with_its_size(size: int) -> None:
-    with pytest.raises(FrameTooLargeError) as raised:
+    with pytest.raises(FrameLengthError) as raised:
         take_frame(bytearray(size.to_bytes(4, "big") + b"x"))
     assert raised.value.size == size
     assert isinstance(raised.value, SandladderError)
