--- a/src/sandladder/transport/peer_transport.py
+++ b/src/sandladder/transport/peer_transport.py
@@ -70,20 +70,20 @@
         self,
         peer: PeerAddress,
         heartbeat_interval_s: float,
-        on_connection_change: Callable[[str, bool], None],
+        on_connection_attempt: Callable[[str, bool], None],
     ) -> None:
         """Initialize without connecting; `run` opens the connection.
 
         Args:
             peer: the controller to connect to.
             heartbeat_interval_s: the heartbeat interval, in seconds.
-            on_connection_change: called after each connection attempt, with the peer's name and
+            on_connection_attempt: called after each connection attempt, with the peer's name and
                 whether the connection was refused.
         """
         self.peer = peer
         self._heartbeat_interval_s = heartbeat_interval_s
         self._timeout_s = _TIMEOUT_INTERVALS * heartbeat_interval_s
-        self._on_connection_change = on_connection_change
+        self._on_connection_attempt = on_connection_attempt
         self._queue: deque[Message] = deque(maxlen=_QUEUE_LIMIT)
         self._send_requested = Signal()
 
@@ -107,7 +107,7 @@
                 self._queue.clear()
                 await anyio.sleep(self._heartbeat_interval_s)
                 continue
-            self._on_connection_change(self.peer.node_name, False)
+            self._on_connection_attempt(self.peer.node_name, False)
             with contextlib.suppress(*_CONNECTION_ERRORS):
                 async with stream:
                     await self._send_until_closed(stream, heartbeat)
@@ -121,7 +121,7 @@
                 return await anyio.connect_tcp(host, port)
         except (OSError, TimeoutError) as error:
             refused = isinstance(error.__cause__ or error, ConnectionRefusedError)
-            self._on_connection_change(self.peer.node_name, refused)
+            self._on_connection_attempt(self.peer.node_name, refused)
             return None
 
     async def _send_until_closed(self, stream: SocketStream, heartbeat: HeartbeatSource) -> None:
