--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -74,15 +74,15 @@
     statuses = {}
     for number in range(machines):
         names = tuple(f"img-{(number + i) % 31}" for i in range(images))
-        odd = number % 9 == 0
+        unusual = number % 9 == 0
         statuses[f"{name_prefix}{number:06d}"] = MachineStatus(
             "small" if number % 3 else "large",
             "north" if number % 2 else "south",
             bool(number % 5),
-            1 + odd,
+            1 + unusual,
             number % 40 / 10,
-            12.5 if odd else None,
-            number % 2 if odd else 0,
+            12.5 if unusual else None,
+            number % 2 if unusual else 0,
             names,
         )
     return MachineInventory(7, 99.5, 1234567, statuses)
--- a/tests/plays.py
+++ b/tests/plays.py
@@ -88,6 +88,7 @@
     ("late_transactions", "ends_far_apart"),
     ("slow_then_refusing", "over_and_back"),
 )
+# Numbers of plays.
 CANCELLED_IN_AN_OUTAGE = 4
 HANDOVERS = 4
 # Transaction kinds and faults of the writer: the name in plays, and in `test_late_writes`.
@@ -243,10 +244,10 @@
 
 def _plays() -> dict[str, Play]:
     """Return all plays by name, the longest first."""
-    found: dict[str, Play] = {}
+    plays: dict[str, Play] = {}
 
     def add(name: str, play: Callable[..., object], *arguments: object) -> None:
-        found[name] = lambda: play(*arguments)
+        plays[name] = lambda: play(*arguments)
 
     for number, fault in enumerate(GROWN_FAULTS):
         add(f"grown {fault}", _grown, 2000 + number, fault)
@@ -281,7 +282,7 @@
         add(f"fault: {fault}", _fault, 2500 + number, fault, slow_s)
     for number, fault in enumerate(DAY_FAULTS):
         add(f"day, {fault}", _day, 2600 + number, fault)
-    return found
+    return plays
 
 
 def main(arguments: list[str]) -> int:
--- a/tests/simulation/answer_consistency.py
+++ b/tests/simulation/answer_consistency.py
@@ -17,26 +17,27 @@
 
 
 class AnswerHistory:
-    """The responses about each job, with the time of the first; times are in virtual seconds."""
+    """The states of each job in the responses to users; times are in virtual seconds."""
 
     def __init__(self, record_violation: Callable[[str, str], None]) -> None:
         self._record_violation = record_violation
-        self.accepted_at: dict[str, float] = {}
+        self.accepted_at: dict[str, float] = {}  # time of the first response with a state
         self.final_states: dict[str, str] = {}  # the first final state in a response
-        self.final_state_at: dict[str, float] = {}
+        self.final_state_at: dict[str, float] = {}  # time of that response
 
     def check_unknown(self, job_id: str, sent: float, status: int) -> None:
-        """Check a response 404, 400 or 422 to a request about a job.
+        """Check a 404, 400 or 422 response to a request about a job.
 
-        Rule `forgotten`: an accepted job gets 404, or a repeated submission of it gets 400 or 422.
+        It is a `forgotten` violation if the job had been accepted before the request was sent.
         """
         if sent > self.accepted_at.get(job_id, sent):
             self._record_violation("forgotten", f"{job_id} got {status}")
 
     def check_accepted_again(self, job_id: str, sent: float) -> None:
-        """Check a response 201 to a submission.
+        """Check a 201 response to a submission.
 
-        Rule `forgotten`: a submission that is repeated after its acceptance gets 201, not 200.
+        It is a `forgotten` violation if the job had been accepted before the request was sent; a
+        repeated submission must get 200.
         """
         if sent > self.accepted_at.get(job_id, sent):
             self._record_violation("forgotten", f"{job_id} was accepted again")
@@ -44,7 +45,7 @@
     def check_state(self, job_id: str, state: str, sent: float, arrived: float) -> None:
         """Check a response with the state of a job.
 
-        Rule `went_back`: a job that was reported done or cancelled is reported in another state.
+        It is a `went_back` violation if the job was reported in another, final state before.
         """
         self.accepted_at.setdefault(job_id, arrived)
         before = self.final_states.get(job_id)
@@ -69,7 +70,7 @@
     zones: list[str],
     teams: list[dict[str, Any]],
 ) -> bool:
-    """Return whether a job can never run, independently of the code under test."""
+    """Return whether a job can never run, without use of the code under test."""
     team = next((team for team in teams if team["name"] == spec["bureau"]), None)
     if team is None:
         return True
--- a/tests/simulation/cloud.py
+++ b/tests/simulation/cloud.py
@@ -52,14 +52,14 @@
         failed = (
             worker.state == "failed" and now() - (worker.terminated_at or 0) > _FAILURE_LIST_DELAY_S
         )
-        alive = "starting" if worker.state == "starting" else "running"
+        boot_state = "starting" if worker.state == "starting" else "running"
         return {
             "id": worker.name,
             "addr": f"{worker.name}:9000",
             "breed": worker.kind,
             "district": worker.zone,
             "loaners": worker.spot,
-            "standing": "failed" if failed else alive,
+            "standing": "failed" if failed else boot_state,
             "age_s": now() - worker.rented_at,
         }
 
--- a/tests/simulation/cluster.py
+++ b/tests/simulation/cluster.py
@@ -43,7 +43,7 @@
         Args:
             seed: Seed of the random generator.
             count: Number of controllers.
-            large: Use ten times the teams' limits, and small values in the store.
+            large: Use ten times the teams' limits, and a lower size limit for stored values.
             old: Run the controllers of the version in production.
             cancel_s: Time limit for stopping the tasks of a cancelled job, in seconds.
             limits: Teams with their guarantees and limits, in place of the default ones.
--- a/tests/simulation/controllers.py
+++ b/tests/simulation/controllers.py
@@ -96,7 +96,7 @@
         self._state_settings = state_settings
         # The version that each controller runs from its next start.
         self.versions = [production.load() if old else THIS_VERSION] * shared.count
-        self._scopes: dict[str, anyio.CancelScope] = {}  # of the running processes
+        self._scopes: dict[str, anyio.CancelScope] = {}  # by process; cancelled to end it
 
     def boot(self, index: int, twin: bool = False) -> None:
         """Start a controller unless it is running.
@@ -186,7 +186,7 @@
         self._scopes.pop(name).cancel()
         shared.nodes.pop(name, None)
         shared.network.handlers.pop(name, None)
-        # Connections to the crashed controller are closed immediately.
+        # The peers detect immediately that the crashed controller refuses connections.
         for node in shared.nodes.values():
             node.peers.connections[name].probe()
 
--- a/tests/simulation/deployment.py
+++ b/tests/simulation/deployment.py
@@ -56,8 +56,8 @@
 ) -> Settings:
     """Return the settings of one of `count` controllers, as parsed by a version.
 
-    `large` uses ten times the teams' limits, and small values in the store.  `state` overrides the
-    store's settings.
+    `large` uses ten times the teams' limits, and a lower size limit for stored values.  `state`
+    overrides the store's settings.
     """
     names = [f"node-{i}" for i in range(count)]
     raw = {
--- a/tests/simulation/event_loop.py
+++ b/tests/simulation/event_loop.py
@@ -78,7 +78,10 @@
     def _step(
         self, callback: Any, args: Any, context: Any, handle_cell: Any, due: bool = False
     ) -> None:
-        """Run one step of a controller's routine, or defer it until its processor is available."""
+        """Run one step of a controller's routine, or defer it until its processor is available.
+
+        `due` marks a step whose duration, `step_s`, has elapsed.
+        """
         processor = context[CURRENT_PROCESSOR]
         if handle_cell[0].cancelled():
             return
--- a/tests/simulation/fault_scenarios.py
+++ b/tests/simulation/fault_scenarios.py
@@ -14,11 +14,11 @@
 from simulation.workloads import staggered_job, wait_until_healthy
 
 FaultScenario = Callable[[SimulatedCluster], Coroutine[Any, Any, None]]
-# The ratio to `lease_s` is that of the deployments; shorter than the leases of controller and worker
-# combined.
+# Its ratio to `lease_s` is the same as in the deployments.  It is shorter than the leases of a
+# controller and a worker combined.
 CANCEL_S = 32.0
-# Time after the end of all faults within which every job must be found, in seconds.
-FOUND_LIMIT_S = 75.0
+# Time after the end of all faults within which every job must be readable, in seconds.
+READABLE_LIMIT_S = 75.0
 # Time after the end of all faults within which a startable job must start, in seconds.
 LIVENESS_LIMIT_S = 90.0
 # Delay of the faults after the first submission, in seconds.
@@ -31,7 +31,10 @@
 
 
 def leader(cluster: SimulatedCluster) -> int:
-    """Return the index of the controller that most machines with tasks report to."""
+    """Return the index of the controller that most machines with tasks report to.
+
+    If no machine reports to a running controller, the index is random.
+    """
     reporting_controllers = Counter(
         machine.reporting_controller
         for machine, _ in cluster.tasks_on_machines()
@@ -45,7 +48,7 @@
 async def check_recovery(cluster: SimulatedCluster, ids: list[str], seconds: float = 240.0) -> None:
     """Heal the network, start all controllers, and check that the cluster recovers.
 
-    Every job is found, every job that was not cancelled completes within `seconds`, and no
+    Every job is readable again, every job that was not cancelled completes within `seconds`, and no
     startable job is left pending.
     """
     cluster.network.heal()
@@ -54,7 +57,7 @@
         cluster.boot(index)
     for job_id in ids:
         while job_id not in cluster.accepted or await cluster.poll(job_id) is None:
-            assert now() - ended < FOUND_LIMIT_S, f"no response about {job_id}"
+            assert now() - ended < READABLE_LIMIT_S, f"no response about {job_id}"
             await anyio.sleep(1.0)
     waiting_since: dict[str, float] = {}
     left = list(ids)
@@ -122,7 +125,7 @@
 def run_and_expect(
     cluster: SimulatedCluster, main: Callable[[], Awaitable[None]], *observations: str
 ) -> None:
-    """Run a test's main routine; check for no violation and that all observations occurred."""
+    """Run a test's main routine; check that no rule is violated and all observations occur."""
     run(cluster, main)
     assert cluster.violations == [], cluster.violations[:3]
     missing = [name for name in observations if not cluster.observed[name]]
@@ -130,7 +133,7 @@
 
 
 async def wait_until(condition: Callable[[], bool], seconds: float, step_s: float = 0.01) -> None:
-    """Wait until a condition condition.
+    """Wait until a condition holds.
 
     Raises:
         TimeoutError: The condition does not hold within `seconds`.
@@ -154,7 +157,7 @@
 ) -> int:
     """Cancel up to `count` running jobs within 0.2 seconds, and return their number.
 
-    Their machines hang for `hang_s` seconds.
+    Up to `_MAX_HUNG_MACHINES` of their machines hang for `hang_s` seconds.
     """
     tasks = running_tasks(cluster)
     jobs = list(dict.fromkeys(name.partition("/")[0] for _, name in tasks))
@@ -205,7 +208,7 @@
     cluster.store.refused_sources = set()
     for index in range(cluster.count):
         cluster.boot(index)
-    with anyio.fail_after(FOUND_LIMIT_S):
+    with anyio.fail_after(READABLE_LIMIT_S):
         for job_id in ids:
             while await cluster.poll(job_id) is None:
                 await anyio.sleep(0.5)
@@ -218,10 +221,10 @@
 
 __all__ = [
     "CANCEL_S",
-    "FOUND_LIMIT_S",
     "LEASE_S",
     "LIVENESS_LIMIT_S",
     "LONG_TASK_S",
+    "READABLE_LIMIT_S",
     "FaultScenario",
     "cancel_all_and_recover",
     "cancel_running_jobs",
--- a/tests/simulation/machines.py
+++ b/tests/simulation/machines.py
@@ -21,8 +21,8 @@
         self.spec = spec  # the submission of its job
         self.name, self.attempt = name, attempt
         self.state: TaskState = "fetching"
-        self.cause, self.saved = "", False  # of the exit
-        # Time when the image is fetched; of a started task, when it began to wait or run.
+        self.cause, self.saved = "", False  # cause of the exit; whether a checkpoint was saved
+        # Time when the image is fetched; after the start, time when the task began to wait or run.
         self.ready_at = now() + _FETCH_S_PER_GB * spec["image_gb"]
         self.remaining_s = remaining_s  # remaining run time, in seconds
         self.flushed_at = 0.0  # time when its checkpoint is saved
--- a/tests/simulation/rules.py
+++ b/tests/simulation/rules.py
@@ -1,6 +1,6 @@
-"""The rules of the protocol; each is checked by a function whose docstring states its violation.
+"""The rules of the protocol; each is checked by a function that records its violations.
 
-The rules are those of the protocol's page ("Rules").  Two are checked elsewhere: `forgotten` and
+The rules are those of the protocol's page ("Rules").  Some are checked elsewhere: `forgotten` and
 part of `went_back` by `AnswerHistory`, `nothing_ran` by the tests, which count the starts.
 `too_early`, `orphaned`, `started_cancelled`, `accepted_bad` and `mixed_up` are not in that list,
 but follow from the protocol.
@@ -27,10 +27,10 @@
 
 
 def check_cancelled_tasks_are_stopped(shared: SharedState, tasks: list[Task]) -> None:
-    """Rule `ran_cancelled`.
+    """Record a `ran_cancelled` violation for each task that is on a machine too long.
 
-    A task is on a machine more than `cancel_s` after a response to a user reported its job, or a
-    job that its job depends on, as cancelled.
+    The limit is `cancel_s` after a response to a user reported its job, or a job that its job
+    depends on, as cancelled.
     """
     for task in tasks:
         job_id = task.spec["id"]
@@ -41,7 +41,7 @@
 
 
 def check_quota(shared: SharedState, tasks: list[Task]) -> None:
-    """Rule `quota`: the tasks of a team use more than its limit."""
+    """Record a `quota` violation if the tasks of a team use more than its limit."""
     cpus: Counter[str] = Counter()
     gpus: Counter[str] = Counter()
     for task in tasks:
@@ -61,7 +61,7 @@
 
 
 def check_runs_once(shared: SharedState, machine: Machine, task: Task) -> None:
-    """Rule `ran_twice`: a task starts on a machine while it is on another."""
+    """Record a `ran_twice` violation if a task starts on a machine while it is on another."""
     for other_machine, other in shared.tasks_on_machines():
         if other.name == task.name and other is not task:
             detail = f"{task.name} on {machine.name} and {other_machine.name}"
@@ -69,17 +69,17 @@
 
 
 def check_dependencies_are_done(shared: SharedState, task: Task) -> None:
-    """Rule `too_early`: a task starts before a dependency of its job is done."""
+    """Record a `too_early` violation if a task starts before a dependency of its job is done."""
     for name in task.spec.get("awaits") or ():
         if not shared.is_done(name):
             shared.record_violation("too_early", f"{task.name} before {name}")
 
 
 def check_place(shared: SharedState, machine: Machine, task: Task) -> None:
-    """Rule `wrong_place`.
+    """Record a `wrong_place` violation if a task starts on an unsuitable machine.
 
-    A task starts on a machine whose type, zone or spot status violates the constraints of its job,
-    given the job's other tasks at that time.
+    The machine's type, zone or spot status violates the constraints of the job, given the job's
+    other tasks at that time.
     """
     spec = task.spec
     others = [
@@ -104,9 +104,9 @@
 
 
 def check_committed_starts(shared: SharedState, key: str, before: Any, after: Any) -> None:
-    """Rule `started_cancelled`.
+    """Record a `started_cancelled` violation if a transaction starts a task of a cancelled job.
 
-    A transaction starts a task of a job that a response has reported as cancelled.
+    A response has reported the job as cancelled before.
     """
     if not key.startswith(f"{_JOB_PREFIX}job-"):
         return
@@ -120,13 +120,13 @@
 
 
 def check_acceptance(shared: SharedState, spec: dict[str, Any]) -> None:
-    """Rule `accepted_bad`: a submission that must get 400 or 422 is accepted."""
+    """Record an `accepted_bad` violation if an accepted submission must get 400 or 422."""
     if lacks_field(spec) or can_never_run(spec, MACHINE_TYPES, ZONES, shared.teams):
         shared.record_violation("accepted_bad", f"{spec['id']} can't run or lacks a field")
 
 
 def check_submitted(shared: SharedState, job_id: str) -> bool:
-    """Rule `invented`: a job that was never submitted gets 200.  Return whether the rule holds."""
+    """Return whether a job that got 200 was submitted; if not, record an `invented` violation."""
     if job_id in shared.specs:
         return True
     shared.record_violation("invented", job_id)
@@ -134,26 +134,29 @@
 
 
 def check_answered_job(shared: SharedState, job_id: str, answered: str) -> None:
-    """Rule `mixed_up`: a response is about another job than the requested one."""
+    """Record a `mixed_up` violation if a response is about another job than the requested one."""
     if answered != job_id:
         detail = f"{job_id} was requested, {answered} returned"
         shared.record_violation("mixed_up", detail)
 
 
 def check_cancelled_by_user(shared: SharedState, job_id: str) -> None:
-    """Rule `went_back`: a job that its user did not cancel is reported as cancelled."""
+    """Record a `went_back` violation if a reported cancellation was not requested by a user."""
     if not shared.is_cancelled(job_id):
         shared.record_violation("went_back", f"{job_id} was not cancelled by its user")
 
 
 def check_done(shared: SharedState, job_id: str) -> None:
-    """Rule `not_done`: a job is reported as done before all its tasks are."""
+    """Record a `not_done` violation if a job is reported as done before all its tasks are."""
     if not shared.is_done(job_id):
         shared.record_violation("not_done", job_id)
 
 
 def check_dependents_are_cancelled(shared: SharedState, job_id: str, sent_at: float) -> None:
-    """Rule `orphaned`: a job is live over `cancel_s` after its dependency was cancelled."""
+    """Record an `orphaned` violation if a job is live too long after a dependency was cancelled.
+
+    The limit is `cancel_s` after a response reported the dependency as cancelled.
+    """
     for name in shared.dependencies(job_id):
         if sent_at - shared.cancelled_at.get(name, sent_at) > shared.cancel_s:
             shared.record_violation("orphaned", f"{job_id} after {name}")
--- a/tests/simulation/shared_state.py
+++ b/tests/simulation/shared_state.py
@@ -20,12 +20,12 @@
     """A copy of a heartbeat that is delivered to every controller later."""
 
     machine: Machine
-    epoch: int  # of the machine when it was sent
+    epoch: int  # agent epoch of the machine when the heartbeat was sent
     request: Request
 
 
 class SharedState(ABC):
-    """The state shared by the parts of a simulation, and the interface of the whole.
+    """The state shared by the parts of a simulation, and the cluster's methods that they call.
 
     The rules are checked against the sets and maps of jobs, which no controller reads.  All random
     values are drawn from `rng`, in the order of the events.
@@ -39,13 +39,14 @@
         self.nodes: dict[str, Any] = {}  # the running controllers, of either version
         self.processors: dict[str, Processor] = {}
         self.machines: dict[str, Machine] = {}  # all machines ever rented
-        # Violated rules, and the number of times that each fault occurred.
+        # Violated rules, and the number of occurrences of each fault or condition.
         self.violations: list[str] = []
         self.observed: Counter[str] = Counter()
         # Jobs.
         self.specs: dict[str, dict[str, Any]] = {}  # submissions
         self.accepted: set[str] = set()
-        # Time of the first response that a job is cancelled; infinite from the request until then.
+        # Time of the first response that reports the job as cancelled; infinite from the request to
+        # cancel it until that response.
         self.cancelled_at: dict[str, float] = {}
         self.answers = AnswerHistory(self.record_violation)
         # Tasks, by name.
@@ -54,7 +55,7 @@
         self.starts: Counter[str] = Counter()
         self.failed_starts = 0  # on a faulty machine, or of a job that always fails
         self.expired_leases = 0
-        # Faults of several parts, as shares of the affected objects.
+        # Faults that involve several parts, as shares of all jobs or heartbeats.
         self.concurrent_read_share = 0.0  # jobs that users read at all controllers concurrently
         self.cancel_at_end_share = 0.0  # jobs that are cancelled when their last task ends
         self.kept_heartbeat_share = 0.0  # heartbeats that are copied for a later replay
--- a/tests/simulation/store.py
+++ b/tests/simulation/store.py
@@ -33,11 +33,11 @@
 
 @dataclass
 class UnansweredCommits:
-    """The fault that transactions get no response, and are applied immediately or late."""
+    """A fault: transactions get no response, and are applied immediately or late."""
 
     share: float = 0.0  # of the selected transactions
     selects: Callable[[Any], bool] = bool  # predicate on the changes of a transaction
-    forced_count: int = 0  # the first N selected ones, regardless of the share
+    forced_count: int = 0  # the first N selected ones, with any share above 0
     at_once: bool = False  # applied immediately, only the response is lost
     on_lost: Callable[[str], None] | None = None  # called with the writer after a loss
 
--- a/tests/simulation/task_executor.py
+++ b/tests/simulation/task_executor.py
@@ -67,8 +67,8 @@
         """Advance the tasks to the current time, and check the rules."""
         if self.state != "running":
             return
-        # The lease expires on a hanging machine as well; otherwise the tasks that it had run would
-        # count as being on it, and a valid lease expiry proof would be a violation.
+        # The lease also expires on a hanging machine.  Otherwise its tasks would still count as being
+        # on it, and their restart after a valid lease expiry proof would violate `ran_twice`.
         if now() - self.lease_started_at > LEASE_S:
             self.tasks.clear()
             self.epoch += 1
--- a/tests/simulation/users.py
+++ b/tests/simulation/users.py
@@ -42,7 +42,7 @@
     async def submit_once(self, spec: dict[str, Any], node: int | None = None) -> int:
         """Send a submission once, check the response, and return its status."""
         shared, job_id, sent_at = self._shared, spec["id"], now()
-        known = job_id in shared.answers.accepted_at
+        accepted_before = job_id in shared.answers.accepted_at
         response = await shared.ask("POST", "/work", spec, node)
         if response.status in (200, 201):
             if response.status == 201:
@@ -53,7 +53,7 @@
             self._check_state(job_id, self._state(job_id, response), sent_at)
             if first:
                 self.read_concurrently(job_id, "accepted")
-        elif response.status in (400, 422) and known:
+        elif response.status in (400, 422) and accepted_before:
             shared.answers.check_unknown(job_id, sent_at, response.status)
         return response.status
 
@@ -72,7 +72,7 @@
         return body
 
     async def cancel(self, job_id: str, tries: int = 40, node: int | None = None) -> str | None:
-        """Cancel until there is a response, and return the state in it, or None."""
+        """Repeat a cancellation until it gets 200, and return the state in the response, or None."""
         shared = self._shared
         for _ in range(tries):
             sent_at = now()
@@ -101,7 +101,7 @@
                 await anyio.sleep(1.0)
 
     async def until_done(self, ids: list[str], seconds: float) -> list[str]:
-        """Poll until all jobs are in a final state, and return those that are not in time."""
+        """Poll for up to `seconds` until all jobs are in a final state, and return the others."""
         end = now() + seconds
         left = list(ids)
         while left and now() < end:
@@ -113,7 +113,7 @@
         return left
 
     def read_concurrently(self, job_id: str, event: str) -> None:
-        """Poll and resubmit a share of the jobs at all controllers within milliseconds."""
+        """Poll and resubmit a job at all controllers within milliseconds, for a share of the jobs."""
         shared = self._shared
         if not shared.concurrent_read_share or shared.rng.random() >= shared.concurrent_read_share:
             return
--- a/tests/simulation/workloads.py
+++ b/tests/simulation/workloads.py
@@ -58,22 +58,31 @@
     return job(number, **small | fields)
 
 
-def pipeline(cluster: SimulatedCluster, first: int, **last: Any) -> list[dict[str, Any]]:
-    """Return a DAG of jobs: one, two or three in parallel, one that joins them, and the last."""
+def pipeline(
+    cluster: SimulatedCluster, first_number: int, **last_fields: Any
+) -> list[dict[str, Any]]:
+    """Return a DAG: a first job, two or three that depend on it, one that joins them, and a last.
+
+    The jobs are numbered from `first_number`; `last_fields` are fields of the last one.
+    """
     rng = cluster.rng
     small: dict[str, Any] = {"vcpus": 1.0, "ram_gb": 2.0, "rank": "idle", "expect_s": 3.0}
     teams = ["red", "blue"]
-    jobs = [job(first, entries=rng.randint(1, 3), bureau=rng.choice(teams), **small)]
+    jobs = [job(first_number, entries=rng.randint(1, 3), bureau=rng.choice(teams), **small)]
     width = rng.randint(2, 3)
     for number in range(width):
         awaits = [jobs[0]["id"]]
-        jobs.append(job(first + 1 + number, entries=rng.randint(1, 6), awaits=awaits, **small))
+        jobs.append(
+            job(first_number + 1 + number, entries=rng.randint(1, 6), awaits=awaits, **small)
+        )
     parallel = [spec["id"] for spec in jobs[1:]]
     # A duplicate dependency must have no effect.
     awaits = [*parallel, parallel[0]]
-    jobs.append(job(first + width + 1, awaits=awaits, bureau=rng.choice(teams), expect_s=4.0))
-    fields: dict[str, Any] = {"rank": "urgent", "expect_s": 2.0, "due_s": 120.0} | last
-    jobs.append(job(first + width + 2, entries=2, awaits=[jobs[-1]["id"]], **fields))
+    jobs.append(
+        job(first_number + width + 1, awaits=awaits, bureau=rng.choice(teams), expect_s=4.0)
+    )
+    fields: dict[str, Any] = {"rank": "urgent", "expect_s": 2.0, "due_s": 120.0} | last_fields
+    jobs.append(job(first_number + width + 2, entries=2, awaits=[jobs[-1]["id"]], **fields))
     return jobs
 
 
--- a/tests/test_cancelled_during_reassignment.py
+++ b/tests/test_cancelled_during_reassignment.py
@@ -20,7 +20,7 @@
 from simulation.workloads import wait_until_healthy
 
 ReassignmentCause = Callable[[SimulatedCluster, int], Awaitable[None]]
-# Maximum time between a cancellation and a reassignment that count as close to each other.
+# A cancellation within this time of a reassignment, in seconds, counts as just before or after it.
 MAX_GAP_S = 2.0
 
 
@@ -119,7 +119,7 @@
         self._index = busiest_controller(cluster)
         self._moves_at_start = len(team_moves(cluster))
         self._running = list(ids)
-        # Cancelled on suspicion of the controller, so that they are committed before the failover.
+        # Cancelled once the controller is suspected, so that they are committed before the failover.
         self._cancelled_early = [self._running.pop() for _ in range(3)]
         # New jobs of each team that are waiting or being started when they are cancelled.
         self.new_jobs = [
@@ -185,7 +185,7 @@
 def test_cancelled_tasks_end_during_a_reassignment_of_teams(
     cause: ReassignmentCause, count: int
 ) -> None:
-    """Cancel before, during and after the commits, with starts pending and in flight."""
+    """Jobs are cancelled just before and after the commits of a reassignment, also while starting."""
     cluster = SimulatedCluster(1010 + REASSIGNMENT_CAUSES.index(cause), count, cancel_s=CANCEL_S)
 
     async def main() -> None:
--- a/tests/test_combined_faults.py
+++ b/tests/test_combined_faults.py
@@ -58,7 +58,7 @@
 
 
 async def slow_store_then_outage(cluster: SimulatedCluster) -> None:
-    """Slow down the store; it refuses the leader, then all clients for longer than `cancel_s`."""
+    """Slow down the store, then refuse the leader, then all clients for longer than `cancel_s`."""
     cluster.store.mean_delay_s = 0.4
     await anyio.sleep(6.0)
     cluster.store.refused_sources = {f"node-{leader(cluster)}"}
--- a/tests/test_large_and_small_jobs.py
+++ b/tests/test_large_and_small_jobs.py
@@ -141,7 +141,7 @@
 ) -> None:
     """Guards against memory that grows with finished jobs, and against extra writes per job.
 
-    A quarter of the jobs is cancelled.
+    Up to a quarter of the jobs are cancelled.
     """
     monkeypatch.setattr(job_tables, "FINISHED_JOBS_KEPT", 64)
     cluster = SimulatedCluster(1240, cancel_s=CANCEL_S, write_rps=60.0)
@@ -156,12 +156,12 @@
 
     def sizes(node: Any) -> dict[str, int]:
         """Return the number of entries in each of a controller's tables."""
-        work, cache = node.job_committer, node.cache
+        committer, cache = node.job_committer, node.cache
         return {
             "finished jobs": len(cache.finished_jobs),
             "live": len(cache.jobs),
             "versions": len(cache.versions),
-            "proved": len(work.proved_ends),
+            "proved": len(committer.proved_ends),
             "unarchived": len(cache.unarchived),
             "queue": node.committer.queued,
             "avoid": len(node.planner.failed_machines),
--- a/tests/test_leaders.py
+++ b/tests/test_leaders.py
@@ -64,14 +64,14 @@
         else:
             unanswered.share, unanswered.at_once = 0.25, store_delay == "responses lost"
         for number in range(3):
-            # Machines must have been up for long enough that their silence counts.
+            # Missing heartbeats count only for machines that have been up for long enough.
             await anyio.sleep(2 * LEASE_S)
             # One of the other controllers gets no messages and sees new machines in the store only.
-            first = leader(cluster)
-            isolated = [i for i in range(cluster.count) if i != first][number % 2]
+            leader_index = leader(cluster)
+            isolated = [i for i in range(cluster.count) if i != leader_index][number % 2]
             for other in range(cluster.count):
                 cluster.network.one_way[f"node-{other}", f"node-{isolated}"] = "drop"
-            # What runs now is lost, so that machines are rented anew.
+            # Half of the machines fail, so that new ones are rented.
             for worker in running_machines(cluster)[::2]:
                 worker.terminate(True)
             with anyio.move_on_after(25.0):
@@ -128,10 +128,10 @@
                         15.0,
                     )
             ended = set(cluster.done)
-            of_finished_jobs = [
+            of_done_tasks = [
                 r for _, _, r in cluster.kept_heartbeats if any(n.encode() in r.body for n in ended)
             ]
-            cluster.observed["of a task that has ended"] += bool(of_finished_jobs)
+            cluster.observed["of a task that has ended"] += bool(of_done_tasks)
             cluster.replay_kept_heartbeats()
             await anyio.sleep(4.0)
 
@@ -240,14 +240,14 @@
             await anyio.sleep(0.5)
         cluster.network.heal()
 
-    def long(cluster: SimulatedCluster, number: int) -> dict[str, Any]:
+    def random_job(cluster: SimulatedCluster, number: int) -> dict[str, Any]:
         expect_s = cluster.rng.choice([4.0, 20.0, 60.0])
         district = cluster.rng.choice([zone, None])
         return job(number, vcpus=1.0, expect_s=expect_s, district=district, image_gb=0.2)
 
     run_and_expect(
         cluster,
-        lambda: run_with_faults(cluster, (scenario,), 14, long, cancels=0.1),
+        lambda: run_with_faults(cluster, (scenario,), 14, random_job, cancels=0.1),
         "work in the zone",
         "cancelled and still on a machine",
     )
--- a/tests/test_single_faults.py
+++ b/tests/test_single_faults.py
@@ -198,7 +198,7 @@
         while len(cluster.tasks_on_machines()) < 2:
             await anyio.sleep(0.2)
             assert anyio.current_time() - died < 40.0
-        # Earlier than the machine list shows the failure.
+        # The limit in the loop only ends the wait; the required time is shorter.
         assert anyio.current_time() - died < 30.0
 
     run(cluster, main)
