--- a/tests/plays.py
+++ b/tests/plays.py
@@ -116,7 +116,7 @@
 def _day(seed: int, fault: str) -> None:
     import test_random_faults
 
-    test_random_faults.play_day(seed, _fault_of_a_cluster(fault))
+    test_random_faults.play_small_cluster(seed, _fault_of_a_cluster(fault))
 
 
 def _grown(seed: int, fault: str) -> None:
--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -65,10 +65,10 @@
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda f: f.__name__)
 @pytest.mark.parametrize("seed", [1, 2])
 def test_rules_hold_and_all_jobs_complete(fault: Fault, seed: int) -> None:
-    play_day(seed * 100 + FAULTS.index(fault), fault)
+    play_small_cluster(seed * 100 + FAULTS.index(fault), fault)
 
 
-def play_day(seed: int, fault: Fault) -> None:
+def play_small_cluster(seed: int, fault: Fault) -> None:
     """Run jobs with a fault from a seed, and check that no rule is violated."""
     cluster = SimulatedCluster(seed)
     run(cluster, lambda: run_jobs_with_fault(cluster, fault))
--- a/tools/first_difference.py
+++ b/tools/first_difference.py
@@ -4,8 +4,8 @@
     python tools/first_difference.py CODE [--hash-seeds 0 4] [--context 3]
 
 CODE is Python that runs the simulation, with the tests' folders on its path, for example
-'from test_random_faults import *; play_day(106, all_faults)'.  An event is a request, a response or
-a message between controllers, as `simulation.tracing` records it.
+'from test_random_faults import *; play_small_cluster(106, all_faults)'.  An event is a request, a
+response or a message between controllers, as `simulation.tracing` records it.
 
 Exit status: 1 if an event differs.
 """
--- a/tools/search.py
+++ b/tools/search.py
@@ -42,7 +42,7 @@
 LARGE_CLUSTER_FAULTS = ("zone_cut_off", "spot_reclaim_wave", "slow_store")
 # The Python code that runs a day, by kind.
 CODE = {
-    "random": "from test_random_faults import *; play_day({seed}, {arguments})",
+    "random": "from test_random_faults import *; play_small_cluster({seed}, {arguments})",
     "upgrade": "from simulation.faults import *; import test_upgrade; "
     "test_upgrade.play_upgrade({seed}, {arguments})",
     "pipelines": "from simulation.faults import *; import test_dependencies; "
