--- a/tests/test_combined_faults.py
+++ b/tests/test_combined_faults.py
@@ -83,7 +83,7 @@
                 cluster.network.cut(
                     worker.name, f"node-{other}", cluster.rng.choice(["hold", "drop"])
                 )
-        cluster.observed["leader ended"] += 1
+        cluster.observed["leader crashed"] += 1
         await restart(cluster, index, cluster.rng.uniform(0.3, 4.0))
         await anyio.sleep(cluster.rng.uniform(4.0, 2 * LEASE_S))
         cluster.network.heal()
@@ -106,7 +106,7 @@
         await anyio.sleep(cluster.rng.uniform(0.5, 4.0))
     for index in range(cluster.count):
         cluster.crash(index)
-    cluster.observed["all ended"] += not cluster.nodes
+    cluster.observed["all controllers crashed"] += not cluster.nodes
     first_to_start = cluster.rng.randrange(cluster.count)
     await anyio.sleep(cluster.rng.uniform(0.1, 0.9))
     cluster.boot(first_to_start)
@@ -238,9 +238,9 @@
     leaders_crash_with_uncommitted_task_ends: ("end proved, not committed",),
     delayed_heartbeats: ("duplicated heartbeat",),
     slow_store_then_outage: ("cancelled just before",),
-    responses_lost: ("response lost", "leader ended"),
+    responses_lost: ("response lost", "leader crashed"),
     late_transactions: ("late write refused",),
-    all_controllers_restart: ("all ended",),
+    all_controllers_restart: ("all controllers crashed",),
     leader_partitioned: ("work reported to the leader",),
     commands_delayed: ("late command",),
     store_responses_lost: ("change read by others after its response was lost",),
