--- a/tools/scale_run.py
+++ b/tools/scale_run.py
@@ -146,7 +146,7 @@
             "starts a second": round((cluster.starts.total() - before) / counted_s, 1),
             "most starts in a second": max(by_second.values()),
             "changes a second": round((len(cluster.store.history) - changes) / counted_s, 2),
-            "tasks running": len(cluster.present()),
+            "tasks running": len(cluster.tasks_on_machines()),
             "urgent wait p50, p99 (s)": _waits(load, began, True),
             "other wait p50, p99 (s)": _waits(load, began, False),
         }
